--- a/crates/fleet/src/agreement.rs
+++ b/crates/fleet/src/agreement.rs
@@ -56,9 +56,9 @@
     /// How sure it may be.
     pub certainty: Certainty,
     /// Members that were heard lately, and the share of them that hold the same view.
-    pub heard: usize,
+    pub peers_heard: usize,
     /// Likewise; 1 if none was heard.
-    pub share: f64,
+    pub agreeing_share: f64,
     /// Since when it has been as sure as this.
     pub since: Duration,
     /// Members in the view, this node included.
@@ -126,7 +126,7 @@
         };
         self.state = Some((certainty, since));
         let could_be_alive = certainty.could_be_alive(members, fleet_size);
-        Agreement { certainty, heard, share, since, members, digest, could_be_alive }
+        Agreement { certainty, peers_heard: heard, agreeing_share: share, since, members, digest, could_be_alive }
     }
 }
 
--- a/crates/fleet/src/agreement/tests.rs
+++ b/crates/fleet/src/agreement/tests.rs
@@ -22,10 +22,10 @@
     assert_eq!((agreed.certainty, agreed.could_be_alive, agreed.since), (Certainty::Agreed, 10, at(3)));
     // Two of nine with another view are too many, and what was heard long ago counts no more.
     views.hear(&name(0), 6, at(3));
-    assert_eq!(views.judge((10, 5), 10, PERIOD, at(3)).share, 8.0 / 9.0);
+    assert_eq!(views.judge((10, 5), 10, PERIOD, at(3)).agreeing_share, 8.0 / 9.0);
     assert_eq!(views.judge((10, 5), 10, PERIOD, at(4)).certainty, Certainty::Diverging);
     let alone = views.judge((10, 5), 10, PERIOD, at(20));
-    assert_eq!((alone.heard, alone.certainty, alone.could_be_alive), (0, Certainty::Diverging, 10));
+    assert_eq!((alone.peers_heard, alone.certainty, alone.could_be_alive), (0, Certainty::Diverging, 10));
 }
 
 /// Half is a minority on both sides: neither may take the other half for dead.
@@ -35,7 +35,7 @@
     (0..4).for_each(|n| views.hear(&name(n), 5, at(0)));
     views.judge((5, 5), 10, PERIOD, at(0));
     let half = views.judge((5, 5), 10, PERIOD, at(9));
-    assert_eq!((half.certainty, half.could_be_alive, half.share), (Certainty::Minority, 10, 1.0));
+    assert_eq!((half.certainty, half.could_be_alive, half.agreeing_share), (Certainty::Minority, 10, 1.0));
     views.judge((6, 5), 10, PERIOD, at(9));
     assert_eq!(views.judge((6, 5), 10, PERIOD, at(10)).certainty, Certainty::Agreed);
     assert_eq!(Views::default().judge((1, 5), 1, PERIOD, at(0)).certainty, Certainty::Agreed);
@@ -49,7 +49,7 @@
         renewed: 0,
         address: Address::Node(number as u16),
         zone: 0,
-        program: 1,
+        program_version: 1,
     };
     let sum = |members: &[Identity]| members.iter().map(member_digest).fold(0u64, u64::wrapping_add);
     assert_eq!(sum(&[member(1, 1), member(2, 2)]), sum(&[member(2, 2), member(1, 1)]));
--- a/crates/fleet/src/identity.rs
+++ b/crates/fleet/src/identity.rs
@@ -16,24 +16,24 @@
 /// Why a text is no name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a member's name has 1 to 24 visible ASCII characters")]
-pub struct BadName;
+pub struct NameError;
 
 impl TryFrom<&str> for Name {
-    type Error = BadName;
+    type Error = NameError;
 
-    fn try_from(text: &str) -> Result<Self, BadName> {
+    fn try_from(text: &str) -> Result<Self, NameError> {
         let fits = (1..=LONGEST).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic());
         // What follows a name is 0, less than any of its characters: names are in the order of their texts.
         let mut bytes = [0; LONGEST];
         bytes.iter_mut().zip(text.bytes()).for_each(|(byte, of)| *byte = of);
-        if fits { Ok(Name(bytes)) } else { Err(BadName) }
+        if fits { Ok(Name(bytes)) } else { Err(NameError) }
     }
 }
 
 impl TryFrom<String> for Name {
-    type Error = BadName;
+    type Error = NameError;
 
-    fn try_from(text: String) -> Result<Self, BadName> {
+    fn try_from(text: String) -> Result<Self, NameError> {
         Name::try_from(text.as_str())
     }
 }
@@ -93,7 +93,7 @@
     /// Its zone.
     pub zone: u8,
     /// The version of its program.
-    pub program: u16,
+    pub program_version: u16,
 }
 
 impl foca::Identity for Identity {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -10,11 +10,11 @@
 mod health;
 mod identity;
 mod membership;
-mod pages;
+mod state_sync;
 mod wire;
 
 pub use agreement::{Agreement, Certainty};
 pub use health::Health;
-pub use identity::{Address, BadName, Identity, Name, Phase};
+pub use identity::{Address, NameError, Identity, Name, Phase};
 pub use membership::{Cause, Change, Counters, MAX_MEMBERS, Member, Membership, Output, Settings};
-pub use wire::{DATAGRAM, Rejected};
+pub use wire::{MAX_DATAGRAM_BYTES, Rejected};
--- a/crates/fleet/src/membership/changes.rs
+++ b/crates/fleet/src/membership/changes.rs
@@ -1,6 +1,6 @@
 //! What changes a member's own standing, and what SWIM has found out of the others.
 
-use super::leavers::Left;
+use super::graceful_leave::Left;
 use super::send::SWIM;
 use super::settings::config;
 use super::timers::{PendingTimer, Suspicion};
--- a/crates/fleet/src/membership/events.rs
+++ b/crates/fleet/src/membership/events.rs
@@ -54,7 +54,7 @@
     /// SWIM's incarnation of this life.
     pub incarnation: u16,
     /// How long ago it was heard by this node itself, if it was.
-    pub heard: Option<Duration>,
+    pub heard_ago: Option<Duration>,
 }
 
 /// What has been counted.
@@ -65,15 +65,15 @@
     /// Likewise.
     pub sent_bytes: u64,
     /// Datagrams heard and taken in.
-    pub heard: u64,
+    pub received: u64,
     /// Dropped, by why.
     pub rejected: BTreeMap<Rejected, u64>,
     /// Times that others doubted this node.
-    pub doubted: u64,
+    pub suspected: u64,
     /// Times that it came back after it was taken for dead.
     pub renewed: u64,
     /// Suspects that were not taken for dead, since they were heard meanwhile.
-    pub spared: u64,
+    pub suspicions_cleared: u64,
     /// Members that failed, and that left.
     pub failed: u64,
     /// Likewise.
--- a/crates/fleet/src/membership/mod.rs
+++ b/crates/fleet/src/membership/mod.rs
@@ -3,12 +3,12 @@
 //! that two processes claim, and how far members agree.
 //!
 //! This file holds the state and what may be asked of it. `timers` runs what is due, `receive` takes datagrams in, `send`
-//! makes them, `changes` carries out what SWIM has found, `codec` looks at what SWIM reads, `leavers` remembers who left.
+//! makes them, `changes` carries out what SWIM has found, `codec` looks at what SWIM reads, `graceful_leave` remembers who left.
 
 mod changes;
 mod codec;
 mod events;
-mod leavers;
+mod graceful_leave;
 mod receive;
 mod send;
 mod settings;
@@ -17,12 +17,12 @@
 use crate::agreement::{Agreement, Views, member_digest};
 use crate::health::Health;
 use crate::identity::{Address, Identity, Name, Phase};
-use crate::pages::Pages;
+use crate::state_sync::Pages;
 use crate::wire::{self, Window};
 use codec::{Observed, ObservingCodec};
 pub use events::{Cause, Change, Counters, Member, Output};
 use foca::Foca;
-use leavers::{Broadcasts, Leavers};
+use graceful_leave::{Broadcasts, Leavers};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use settings::config;
@@ -106,7 +106,7 @@
             Broadcasts(leavers.clone(), settings.max_members),
         );
         // Nodes that start together don't all call at once.
-        let seek_at = now + settings.patience.mul_f64(random.random());
+        let seek_at = now + settings.probe_timeout.mul_f64(random.random());
         let mut seeds = seeds;
         seeds.retain(|address| *address != me.address);
         seeds.truncate(settings.max_members);
@@ -148,7 +148,7 @@
     }
 
     /// Who this node is, as it is now: another life if it came back after it was taken for dead.
-    pub fn me(&self) -> &Identity {
+    pub fn local_identity(&self) -> &Identity {
         &self.me
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// The process that has taken this one's name over, if one has.
-    pub fn displaced(&self) -> Option<&Identity> {
+    pub fn displaced_by(&self) -> Option<&Identity> {
         self.displaced.as_ref()
     }
 
@@ -187,7 +187,7 @@
                 identity: identity.clone(),
                 suspect: state.is_some_and(|state| state.state() == foca::State::Suspect),
                 incarnation: state.map_or(0, |state| state.incarnation()),
-                heard: self.windows.get(&identity.name).map(|(_, _, at)| now.saturating_sub(*at)),
+                heard_ago: self.windows.get(&identity.name).map(|(_, _, at)| now.saturating_sub(*at)),
             }
         };
         self.members.values().map(member).collect()
@@ -199,7 +199,7 @@
     }
 
     /// Another number whenever a member has come, has gone or is in another life.
-    pub fn version(&self) -> u64 {
+    pub fn view_version(&self) -> u64 {
         self.version
     }
 
@@ -211,6 +211,6 @@
     /// How far others agree with this node's view.
     pub fn agreement(&mut self, now: Duration) -> Agreement {
         let view = (self.members.len() + 1, self.digest);
-        self.views.judge(view, self.settings.fleet_size, self.settings.period, now)
+        self.views.judge(view, self.settings.fleet_size, self.settings.probe_period, now)
     }
 }
--- a/crates/fleet/src/membership/receive.rs
+++ b/crates/fleet/src/membership/receive.rs
@@ -1,11 +1,11 @@
 //! What a datagram does.
 
 use super::codec::DecodeError;
-use super::leavers::Left;
+use super::graceful_leave::Left;
 use super::send::{ASK, HELLO, PAGE, SWIM, WELCOME};
 use super::{Cause, Change, Membership, Output};
 use crate::identity::{Address, Identity, Phase};
-use crate::pages::{Ask, MAX_PAGE_MEMBERS, Page};
+use crate::state_sync::{Ask, MAX_PAGE_MEMBERS, Page};
 use crate::wire::{self, Head, Rejected, Window};
 use foca::AccumulatingRuntime;
 use std::collections::BTreeMap;
@@ -17,14 +17,14 @@
 
 impl Membership {
     /// A datagram has come.
-    pub fn hear(&mut self, now: Duration, data: &[u8], out: &mut Vec<Output>) {
+    pub fn receive(&mut self, now: Duration, data: &[u8], out: &mut Vec<Output>) {
         if self.displaced.is_some() || self.phase == Phase::Leaving {
             return;
         }
         // What is late is noticed by what comes first, a timer or a datagram.
         self.local_time(now);
         match self.try_hear(now, data, out) {
-            Ok(()) => self.counters.heard += 1,
+            Ok(()) => self.counters.received += 1,
             Err(why) => *self.counters.rejected.entry(why).or_default() += 1,
         }
     }
@@ -124,7 +124,7 @@
         self.reclassify_departed(out);
         let doubted = std::mem::take(&mut self.observed.borrow_mut().doubted);
         if doubted > 0 {
-            self.counters.doubted += doubted;
+            self.counters.suspected += doubted;
             self.health.doubted();
         }
         Ok(())
@@ -153,7 +153,7 @@
         if digest == self.digest || own < self.ask_at {
             return;
         }
-        self.ask_at = own + self.health.stretch(self.settings.period / ASK_EVERY);
+        self.ask_at = own + self.health.stretch(self.settings.probe_period / ASK_EVERY);
         self.request_page(sender.address, out);
     }
 
--- a/crates/fleet/src/membership/settings.rs
+++ b/crates/fleet/src/membership/settings.rs
@@ -1,6 +1,6 @@
 //! What a member is told, and SWIM's settings that follow from it.
 
-use super::leavers::TOMBSTONE_TTL;
+use super::graceful_leave::TOMBSTONE_TTL;
 use crate::wire::BODY;
 use foca::PeriodicParams;
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -26,9 +26,9 @@
     /// How many nodes are configured.
     pub fleet_size: usize,
     /// How often a member probes another.
-    pub period: Duration,
+    pub probe_period: Duration,
     /// How long it waits for the answer before it asks others to probe; well under half of a period.
-    pub patience: Duration,
+    pub probe_timeout: Duration,
     /// No more members than this are kept.
     pub max_members: usize,
     /// Whether the node doubts itself (Lifeguard's idea) and calls a suspect before it takes others for dead; without it,
@@ -39,12 +39,12 @@
 impl Settings {
     /// The usual ones: a probe a second, 300 ms for its answer (peers' messages take up to 14 ms each way), as many
     /// members as are kept at all.
-    pub fn usual(cluster: &str, fleet_size: usize) -> Self {
+    pub fn with_defaults(cluster: &str, fleet_size: usize) -> Self {
         Settings {
             cluster: cluster.into(),
             fleet_size,
-            period: Duration::from_secs(1),
-            patience: Duration::from_millis(300),
+            probe_period: Duration::from_secs(1),
+            probe_timeout: Duration::from_millis(300),
             max_members: MAX_MEMBERS,
             local_health: true,
         }
@@ -59,16 +59,16 @@
         Some(PeriodicParams { frequency, num_members })
     };
     foca::Config {
-        probe_period: settings.period,
-        probe_rtt: settings.patience,
+        probe_period: settings.probe_period,
+        probe_rtt: settings.probe_timeout,
         num_indirect_probes: INDIRECT_PROBES,
         max_transmissions: MAX_TRANSMISSIONS,
-        suspect_to_down_after: settings.period.mul_f64(SUSPICION_PERIODS * factors),
+        suspect_to_down_after: settings.probe_period.mul_f64(SUSPICION_PERIODS * factors),
         remove_down_after: TOMBSTONE_TTL,
         max_packet_size: NonZeroUsize::new(BODY).unwrap_or(NonZeroUsize::MIN),
         notify_down_members: true,
-        periodic_announce: few(settings.period * 30, 1),
-        periodic_announce_to_down_members: few(settings.period * 5, 2),
-        periodic_gossip: few(settings.period / 4, 2),
+        periodic_announce: few(settings.probe_period * 30, 1),
+        periodic_announce_to_down_members: few(settings.probe_period * 5, 2),
+        periodic_gossip: few(settings.probe_period / 4, 2),
     }
 }
--- a/crates/fleet/src/membership/timers.rs
+++ b/crates/fleet/src/membership/timers.rs
@@ -39,9 +39,9 @@
         }
         let due = self.timers.peek().map_or(self.seek_at, |Reverse((at, _))| *at).min(self.seek_at);
         let late = own.saturating_sub(due);
-        if late > self.settings.patience / 2 {
+        if late > self.settings.probe_timeout / 2 {
             self.lost += late;
-            self.health.late(late, self.settings.patience);
+            self.health.late(late, self.settings.probe_timeout);
             return own - late;
         }
         own
@@ -78,7 +78,7 @@
         if own >= self.seek_at {
             self.end_period();
             self.probe_unknown(out);
-            self.seek_at = own + self.settings.period;
+            self.seek_at = own + self.settings.probe_period;
         }
     }
 
@@ -96,7 +96,7 @@
         };
         let window = self.windows.get(&member_id.name);
         if window.is_some_and(|(life, _, at)| *life == member_id.started_ms && *at > it.since) {
-            self.counters.spared += 1;
+            self.counters.suspicions_cleared += 1;
             return None;
         }
         it.left -= 1;
--- a/crates/fleet/src/pages/tests.rs
+++ b/crates/fleet/src/state_sync/tests.rs
@@ -10,7 +10,7 @@
         renewed: 3,
         address: Address::Socket("127.0.0.1:65535".parse().unwrap()),
         zone: 2,
-        program: 1,
+        program_version: 1,
     }
 }
 
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -3,11 +3,11 @@
 use crate::identity::{Identity, Phase};
 
 /// No datagram is longer (the protocol's bound).
-pub const DATAGRAM: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// What of it the head takes.
 pub const HEAD: usize = 30;
 /// The most that SWIM's message may take.
-pub const BODY: usize = DATAGRAM - HEAD;
+pub const BODY: usize = MAX_DATAGRAM_BYTES - HEAD;
 
 const MAGIC: u8 = 0xc7;
 /// The format of head and body.
@@ -81,7 +81,7 @@
 
     /// The head of a datagram of this cluster, and its body.
     pub fn read(data: &[u8], cluster: u64) -> Result<(Head, &[u8]), Rejected> {
-        if data.len() > DATAGRAM {
+        if data.len() > MAX_DATAGRAM_BYTES {
             return Err(Rejected::TooLong);
         }
         let (head, body) = data.split_at_checked(HEAD).ok_or(Rejected::Truncated)?;
--- a/crates/fleet/tests/hard_cases.rs
+++ b/crates/fleet/tests/fault_scenarios.rs
@@ -1,9 +1,9 @@
 //! The hard cases of membership, each by its promise, on a network in virtual time.
 
-mod net;
+mod sim_network;
 
 use hillpick_fleet::{Address, Cause, Certainty, Membership, Output, Rejected, Settings};
-use net::{Net, name, s};
+use sim_network::{Net, name, s};
 use rand::Rng;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -155,7 +155,7 @@
         assert!(!net.nodes[1].displaced);
         let core = net.nodes[1].core.as_ref().unwrap();
         assert!(
-            core.me().started_ms > net.nodes[1].identity.started_ms + 3_599_000,
+            core.local_identity().started_ms > net.nodes[1].identity.started_ms + 3_599_000,
             "after its earlier life"
         );
     }
@@ -173,7 +173,7 @@
         net.loss = 0.4;
         net.run(120.0);
         let spared: u64 =
-            net.live().iter().map(|node| net.nodes[*node].core.as_ref().unwrap().counters().spared).sum();
+            net.live().iter().map(|node| net.nodes[*node].core.as_ref().unwrap().counters().suspicions_cleared).sum();
         (net.changes(since, Cause::Failed).values().sum::<usize>(), spared)
     };
     let (with, spared) = deaths(true);
@@ -233,7 +233,7 @@
     net.converges(BOUND);
 }
 
-fn clone_of(net: &Net, node: usize, address: Address) -> net::Node {
+fn clone_of(net: &Net, node: usize, address: Address) -> sim_network::Node {
     let mut other = Net::new(1, 1).nodes.remove(0);
     other.identity = net.nodes[node].identity.clone();
     other.identity.address = address;
@@ -321,15 +321,15 @@
     for _ in 0..2000 {
         let length = random.random_range(0..300);
         let noise: Vec<u8> = (0..length).map(|_| random.random()).collect();
-        core.hear(now, &noise, &mut out);
+        core.receive(now, &noise, &mut out);
         // A head that is right, and a body that is not.
         let mut noise = noise;
         noise.splice(0..noise.len().min(30), []);
         let mut data = foreign[..30].to_vec();
         data.extend(noise);
-        core.hear(now, &data, &mut out);
+        core.receive(now, &data, &mut out);
     }
-    core.hear(now, &foreign, &mut out);
+    core.receive(now, &foreign, &mut out);
     assert_eq!(core.members(now).len(), before);
     let rejected = &core.counters().rejected;
     for why in [Rejected::TooLong, Rejected::Truncated, Rejected::Garbage, Rejected::Foreign] {
--- a/crates/fleet/tests/memory.rs
+++ b/crates/fleet/tests/memory.rs
@@ -1,8 +1,8 @@
 //! What a member costs in memory, alone in its process: the allocator counts.
 
-mod net;
+mod sim_network;
 
-use net::{Net, s};
+use sim_network::{Net, s};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 
--- a/crates/fleet/tests/peers_stub/mod.rs
+++ b/crates/fleet/tests/peers_stub/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // each user has its own part of this
 
 use foca::{Codec, Header, Message, PostcardCodec};
-use hillpick_fleet::{Address, DATAGRAM, Identity, Membership, Name, Output, Settings};
+use hillpick_fleet::{Address, MAX_DATAGRAM_BYTES, Identity, Membership, Name, Output, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -73,7 +73,7 @@
         renewed: 0,
         address: Address::Socket(SocketAddrV4::new(Ipv4Addr::new(10, high, mid, low), 7946)),
         zone: (number % 9) as u8,
-        program: 1,
+        program_version: 1,
     }
 }
 
@@ -87,7 +87,7 @@
 impl Stub {
     /// A member that knows nobody yet, and so many others that are played.
     pub fn new(others: usize) -> Self {
-        let settings = Settings::usual(CLUSTER, others + 1);
+        let settings = Settings::with_defaults(CLUSTER, others + 1);
         Stub::with(others, settings)
     }
 
@@ -139,8 +139,8 @@
     }
 
     /// Changes when a member comes, goes or is in another life.
-    pub fn version(&self) -> u64 {
-        self.core.version()
+    pub fn view_version(&self) -> u64 {
+        self.core.view_version()
     }
 
     /// Somebody whom nobody has heard of.
@@ -174,7 +174,7 @@
         data.extend(digest.to_be_bytes());
         data.extend((self.lives.len() as u16).to_be_bytes());
         data.extend(body);
-        assert!(data.len() <= DATAGRAM, "a datagram of {} bytes", data.len());
+        assert!(data.len() <= MAX_DATAGRAM_BYTES, "a datagram of {} bytes", data.len());
         data
     }
 
@@ -191,7 +191,7 @@
 
     /// SWIM's message from one of the others, with as much of the news as fits behind it; returns how much that was.
     fn swim(&mut self, from: usize, message: Message<Identity>, news: &[News]) -> usize {
-        let (src, dst) = (self.lives[from].clone(), self.core.me().clone());
+        let (src, dst) = (self.lives[from].clone(), self.core.local_identity().clone());
         let mut body = Vec::new();
         let header = Header { src, src_incarnation: 0, dst, message };
         PostcardCodec.encode_header(&header, &mut body).expect("a header");
@@ -201,7 +201,7 @@
         for News(member) in news {
             let before = body.len();
             PostcardCodec.encode_member(member, &mut body).expect("a member");
-            if HEAD + body.len() > DATAGRAM {
+            if HEAD + body.len() > MAX_DATAGRAM_BYTES {
                 body.truncate(before);
                 break;
             }
@@ -226,7 +226,7 @@
     fn give(&mut self, data: &[u8]) {
         let mut out = Vec::new();
         let begun = Instant::now();
-        self.core.hear(self.now, data, &mut out);
+        self.core.receive(self.now, data, &mut out);
         self.costs.hear.add(begun);
         self.costs.heard_bytes += data.len() as u64;
         self.answer(out);
--- a/crates/fleet/tests/schedules.rs
+++ b/crates/fleet/tests/random_faults.rs
@@ -2,9 +2,9 @@
 //! dead stays, nobody live stays away, no life goes back (which the net checks at each change), and all nodes together
 //! never use more than twice what a rule allows, of which the module uses two fifths.
 
-mod net;
+mod sim_network;
 
-use net::Net;
+use sim_network::Net;
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, RngSeed};
 
@@ -21,7 +21,7 @@
 }
 
 const NODES: usize = 9;
-/// See `hard_cases.rs`; schedules may leave a node with nobody to call it but those that it calls.
+/// See `fault_scenarios.rs`; schedules may leave a node with nobody to call it but those that it calls.
 const BOUND: f64 = 60.0;
 
 fn fault() -> impl Strategy<Value = Fault> {
@@ -72,7 +72,7 @@
                     net.start(node);
                 }
                 Fault::Leave(node) => net.leave(node),
-                Fault::Stop(node, time) => net.nodes[node].stopped_until = net.now + net::s(time),
+                Fault::Stop(node, time) => net.nodes[node].stopped_until = net.now + sim_network::s(time),
                 Fault::Cut(side) => {
                     net.cut = Box::new(move |from, to| (side >> from & 1) != (side >> to & 1));
                 }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/sim_network/mod.rs
@@ -71,7 +71,7 @@
                 renewed: 0,
                 address: Address::Node(number as u16),
                 zone: (number % 3) as u8,
-                program: 1,
+                program_version: 1,
             },
             stopped_until: Duration::ZERO,
             slow: Duration::ZERO,
@@ -89,7 +89,7 @@
             twice: 0.0,
             cut: Box::new(|_, _| false),
             random: Pcg64Mcg::seed_from_u64(seed),
-            settings: Settings::usual("test", nodes),
+            settings: Settings::with_defaults("test", nodes),
             bytes: 0,
             queue: BinaryHeap::new(),
             order: 0,
@@ -229,7 +229,7 @@
             let mut out = Vec::new();
             if let Some(core) = &mut it.core {
                 match ev {
-                    Ev::Data(data) => core.hear(now, &data, &mut out),
+                    Ev::Data(data) => core.receive(now, &data, &mut out),
                     Ev::Tick => {
                         it.wake = None;
                         core.tick(now, &mut out);
--- a/crates/lab/src/scale/hollow/membership.rs
+++ b/crates/lab/src/scale/hollow/membership.rs
@@ -5,7 +5,7 @@
 use super::state::{Seen, Shared};
 use hillpick::Tier;
 use hillpick::control::config::Fleet;
-use hillpick_fleet::{Address, Certainty, DATAGRAM, Identity, Membership, Name, Output, Settings};
+use hillpick_fleet::{Address, Certainty, MAX_DATAGRAM_BYTES, Identity, Membership, Name, Output, Settings};
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -69,7 +69,7 @@
 
     /// For as long as its task runs.
     pub async fn run(mut self) {
-        let mut data = [0; DATAGRAM + 1];
+        let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         let mut tell_at = Instant::now() + TELL_EVERY;
         loop {
             let wake = self.core.borrow().wake_at().map_or(tell_at, |at| (self.begun + at).min(tell_at));
@@ -103,13 +103,13 @@
             it.heard += 1;
             it.heard_bytes += data.len() as u64;
         });
-        self.core.borrow_mut().hear(self.begun.elapsed(), data, out);
+        self.core.borrow_mut().receive(self.begun.elapsed(), data, out);
     }
 
     /// The module hears of the tier, if that has changed.
     fn tell(&mut self) {
         let mut core = self.core.borrow_mut();
-        let displaced = core.displaced().is_some();
+        let displaced = core.displaced_by().is_some();
         let agreement = core.agreement(self.begun.elapsed());
         let tier = Tier {
             live: agreement.members as u32,
@@ -133,11 +133,11 @@
         renewed: 0,
         address: Address::Socket(address),
         zone: place.zone,
-        program: 0,
+        program_version: 0,
     };
-    let mut settings = Settings::usual(&fleet.cluster, place.nodes as usize);
-    settings.period = fleet.period;
-    settings.patience = fleet.period.mul_f64(PATIENCE);
+    let mut settings = Settings::with_defaults(&fleet.cluster, place.nodes as usize);
+    settings.probe_period = fleet.period;
+    settings.probe_timeout = fleet.period.mul_f64(PATIENCE);
     let seeds = fleet.peers.iter().filter_map(|peer| match peer {
         SocketAddr::V4(peer) => Some(Address::Socket(*peer)),
         SocketAddr::V6(_) => None,
--- a/crates/lab/src/scale/measure.rs
+++ b/crates/lab/src/scale/measure.rs
@@ -132,17 +132,17 @@
     let port = 1_024 + (number % 60_000) as u16;
     let address = Address::Socket(SocketAddrV4::new(Ipv4Addr::new(127, 1, (number / 60_000) as u8, 1), port));
     let name = Name::try_from(format!("n{number}")).expect("a name of a few letters");
-    Identity { name, started_ms: 1 + u64::from(number), renewed: 0, address, zone: 0, program: 0 }
+    Identity { name, started_ms: 1 + u64::from(number), renewed: 0, address, zone: 0, program_version: 0 }
 }
 
 /// A member to which each other one has made itself known.
 fn membership(shape: Shape, members: u32) -> Membership {
     let core = |number: u32, seeds| {
-        let settings = hillpick_fleet::Settings::usual("scale", shape.nodes as usize);
+        let settings = hillpick_fleet::Settings::with_defaults("scale", shape.nodes as usize);
         Membership::new(identity(number), settings, seeds, number.into(), Duration::ZERO)
     };
     let mut first = core(0, Vec::new());
-    let home = first.me().address;
+    let home = first.local_identity().address;
     let mut now = Duration::ZERO;
     for number in 1..members {
         let mut other = core(number, vec![home]);
@@ -152,10 +152,10 @@
         for _ in 0..ROUNDS {
             let (mut to_other, mut answers) = (Vec::new(), Vec::new());
             for data in sent_to(home, to_first) {
-                first.hear(now, &data, &mut to_other);
+                first.receive(now, &data, &mut to_other);
             }
-            for data in sent_to(other.me().address, to_other) {
-                other.hear(Duration::from_secs(1), &data, &mut answers);
+            for data in sent_to(other.local_identity().address, to_other) {
+                other.receive(Duration::from_secs(1), &data, &mut answers);
             }
             to_first = answers;
         }
--- a/crates/lab/src/strategy/members.rs
+++ b/crates/lab/src/strategy/members.rs
@@ -58,12 +58,12 @@
             renewed: 0,
             address: Address::Node(node as u16),
             zone: self.settings.zone,
-            program: 1,
+            program_version: 1,
         };
         let seeds = (0..self.settings.nodes).map(|number| Address::Node(number as u16)).collect();
         let members = Members {
             local_health: self.local_health,
-            ..Members::usual("lab", self.settings.nodes as usize)
+            ..Members::with_defaults("lab", self.settings.nodes as usize)
         };
         Membership::new(me, members, seeds, self.seed, now)
     }
@@ -108,7 +108,7 @@
         }
         let Some(members) = &mut self.members else { return };
         match event {
-            Event::Peer { data, .. } => members.hear(now, &data, &mut out),
+            Event::Peer { data, .. } => members.receive(now, &data, &mut out),
             Event::Timer { token: TOKEN } => {
                 self.wake = None;
                 members.tick(now, &mut out);
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -13,7 +13,7 @@
 use crate::control::log::log;
 use crate::control::process::{Siblings, State};
 use addresses::PeerAddresses;
-use hillpick_fleet::{Address, BadName, Certainty, DATAGRAM, Identity, Membership, Name, Output, Settings};
+use hillpick_fleet::{Address, NameError, Certainty, MAX_DATAGRAM_BYTES, Identity, Membership, Name, Output, Settings};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use saved::SavedMembers;
@@ -48,7 +48,7 @@
         /// The name of the configuration.
         name: String,
         /// What is wrong with it.
-        source: BadName,
+        source: NameError,
     },
     /// The node's number does not fit into a datagram.
     #[error("no membership for a node of number {0}: expected {most} at most, or fleet.advertise", most = u16::MAX)]
@@ -190,14 +190,14 @@
             renewed: 0,
             address,
             zone: self.zone,
-            program: program(),
+            program_version: program(),
         };
         self.saved.starts(me.started_ms);
         let settings = Settings {
             cluster: self.fleet.cluster.clone(),
             fleet_size: self.nodes as usize,
-            period: self.fleet.period,
-            patience: self.fleet.period.mul_f64(PATIENCE),
+            probe_period: self.fleet.period,
+            probe_timeout: self.fleet.period.mul_f64(PATIENCE),
             max_members: MOST_PEERS,
             local_health: true,
         };
@@ -209,7 +209,7 @@
     }
 
     async fn take_part(&mut self, socket: &UdpSocket, process: &mut watch::Receiver<State>) {
-        let mut data = [0; DATAGRAM + 1];
+        let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         let mut tell_at = Instant::now() + TELL_EVERY;
         let mut save_at = Instant::now() + SAVE_EVERY;
         loop {
@@ -263,7 +263,7 @@
             return;
         }
         if let Some((core, begun)) = &mut *self.view.0.borrow_mut() {
-            core.hear(begun.elapsed(), data, out);
+            core.receive(begun.elapsed(), data, out);
         }
     }
 
@@ -301,7 +301,7 @@
             let mut view = self.view.0.borrow_mut();
             let Some((core, begun)) = view.as_mut() else { return };
             // Who is no member knows nothing, and goes by the settings.
-            let displaced = core.displaced().is_some();
+            let displaced = core.displaced_by().is_some();
             let agreement = core.agreement(begun.elapsed());
             Tier {
                 live: agreement.members as u32,
--- a/src/control/peers/saved.rs
+++ b/src/control/peers/saved.rs
@@ -61,12 +61,12 @@
         if self.writing.as_ref().is_some_and(|writing| !writing.is_finished()) {
             return;
         }
-        if self.looked_at.replace(core.version()) == Some(core.version()) {
+        if self.looked_at.replace(core.view_version()) == Some(core.view_version()) {
             return;
         }
         self.listed += 1;
         let members = core.identities().map(|identity| (identity.name, identity.address)).collect();
-        let now = Saved { started_ms: core.me().started_ms, members };
+        let now = Saved { started_ms: core.local_identity().started_ms, members };
         if now.members.is_empty() || now == self.saved {
             return;
         }
--- a/src/control/peers/tests.rs
+++ b/src/control/peers/tests.rs
@@ -174,11 +174,11 @@
             renewed: 0,
             address: Address::Node(number),
             zone: 0,
-            program: 1,
+            program_version: 1,
         };
         let core = |number| {
             let seeds = (0..2).map(Address::Node).collect();
-            Membership::new(me(number), Settings::usual("c", 2), seeds, 1, Duration::ZERO)
+            Membership::new(me(number), Settings::with_defaults("c", 2), seeds, 1, Duration::ZERO)
         };
         let (mut first, mut second) = (core(0), core(1));
         let mut saved = SavedMembers::new(Some(folder.join("members")));
@@ -196,7 +196,7 @@
                 let deliver = |out: &mut Vec<Output>, to: &mut Membership, answers: &mut Vec<Output>| {
                     for output in std::mem::take(out) {
                         if let Output::Send { data, .. } = output {
-                            to.hear(now, &data, answers);
+                            to.receive(now, &data, answers);
                         }
                     }
                 };
--- a/src/control/peers/view.rs
+++ b/src/control/peers/view.rs
@@ -20,7 +20,7 @@
         let agreement = core.agreement(now);
         let identity = |who: &Identity| {
             json!({"name": who.name.to_string(), "address": who.address.to_string(), "zone": who.zone,
-                "started_ms": who.started_ms, "renewed": who.renewed, "program": who.program})
+                "started_ms": who.started_ms, "renewed": who.renewed, "program": who.program_version})
         };
         let members: Vec<_> = core
             .members(now)
@@ -29,7 +29,7 @@
                 let mut told = identity(&member.identity);
                 told["state"] = json!(if member.suspect { "suspect" } else { "alive" });
                 told["incarnation"] = json!(member.incarnation);
-                told["heard_ms_ago"] = json!(member.heard.map(|ago| ago.as_millis() as u64));
+                told["heard_ms_ago"] = json!(member.heard_ago.map(|ago| ago.as_millis() as u64));
                 told
             })
             .collect();
@@ -46,16 +46,16 @@
         let rejected: serde_json::Map<_, _> =
             counters.rejected.iter().map(|(why, count)| (why.to_string(), json!(count))).collect();
         Some(json!({
-            "self": identity(core.me()),
+            "self": identity(core.local_identity()),
             "phase": format!("{:?}", core.phase()).to_lowercase(),
-            "displaced_by": core.displaced().map(identity),
+            "displaced_by": core.displaced_by().map(identity),
             "health": core.health().score(),
             "agreement": told_of(&agreement, now),
             "members": members,
             "departed": departed,
-            "counters": {"sent": counters.sent, "sent_bytes": counters.sent_bytes, "heard": counters.heard,
-                "rejected": rejected, "doubted": counters.doubted, "renewed": counters.renewed,
-                "spared": counters.spared, "failed": counters.failed, "left": counters.left}
+            "counters": {"sent": counters.sent, "sent_bytes": counters.sent_bytes, "heard": counters.received,
+                "rejected": rejected, "doubted": counters.suspected, "renewed": counters.renewed,
+                "spared": counters.suspicions_cleared, "failed": counters.failed, "left": counters.left}
         }))
     }
 }
@@ -64,8 +64,8 @@
     json!({
         "certainty": format!("{:?}", agreement.certainty).to_lowercase(),
         "for_ms": now.saturating_sub(agreement.since).as_millis() as u64,
-        "share": agreement.share,
-        "heard": agreement.heard,
+        "share": agreement.agreeing_share,
+        "heard": agreement.peers_heard,
         "members": agreement.members,
         "could_be_alive": agreement.could_be_alive,
         "digest": format!("{:016x}", agreement.digest)
