--- a/crates/lab/src/capacity/roles/control.rs
+++ b/crates/lab/src/capacity/roles/control.rs
@@ -6,8 +6,8 @@
 use crate::capacity::size::{Capacity, DAY_S};
 use crate::capacity::table::number;
 
-/// Members that a node keeps (`MOST_PEERS` in `src/control/config.rs`).
-const MOST_PEERS: f64 = hillpick::control::config::MOST_PEERS as f64;
+/// Members that a node keeps (`MAX_PEERS` in `src/control/config.rs`).
+const MOST_PEERS: f64 = hillpick::control::config::MAX_PEERS as f64;
 /// The longest saved file (`LONGEST` in `src/control/saved_file.rs`), in bytes.
 const LONGEST_FILE: f64 = (4 << 20) as f64;
 /// A place of the ring (`Balancer::order`), in bytes: its point and the server's place.
--- a/crates/lab/src/scale/hollow/membership.rs
+++ b/crates/lab/src/scale/hollow/membership.rs
@@ -4,7 +4,7 @@
 use super::node::Message;
 use super::state::{Seen, Shared};
 use hillpick::Tier;
-use hillpick::control::config::Fleet;
+use hillpick::control::config::FleetConfig;
 use hillpick_fleet::{Address, Certainty, DATAGRAM, Identity, Membership, Name, Output, Settings};
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr, SocketAddrV4};
@@ -50,7 +50,7 @@
     /// One that knows the fleet's peers alone.
     pub fn new(
         place: &Place,
-        fleet: &Fleet,
+        fleet: &FleetConfig,
         socket: Rc<UdpSocket>,
         messages: mpsc::Sender<Message>,
         shared: Rc<Shared>,
@@ -126,7 +126,7 @@
     }
 }
 
-fn membership(place: &Place, fleet: &Fleet, address: SocketAddrV4) -> Membership {
+fn membership(place: &Place, fleet: &FleetConfig, address: SocketAddrV4) -> Membership {
     let me = Identity {
         name: place.name,
         started_ms: place.started_ms,
@@ -136,8 +136,8 @@
         program: 0,
     };
     let mut settings = Settings::usual(&fleet.cluster, place.nodes as usize);
-    settings.period = fleet.period;
-    settings.patience = fleet.period.mul_f64(PATIENCE);
+    settings.period = fleet.probe_period;
+    settings.patience = fleet.probe_period.mul_f64(PATIENCE);
     let seeds = fleet.peers.iter().filter_map(|peer| match peer {
         SocketAddr::V4(peer) => Some(Address::Socket(*peer)),
         SocketAddr::V6(_) => None,
--- a/crates/lab/src/scale/hollow/mod.rs
+++ b/crates/lab/src/scale/hollow/mod.rs
@@ -7,8 +7,8 @@
 use super::configuration::{Own, Settings, address_of_region};
 use super::messages::{Hollow, NodePlace, NodesReport};
 use hillpick::control::clock::Clock;
-use hillpick::control::config::{Config, Current};
-use hillpick::control::discovery::Discovery;
+use hillpick::control::config::{Config, LiveSettings};
+use hillpick::control::discovery::DiscoveryClient;
 use hillpick::settings::Replacement;
 use hillpick_fleet::{Membership, Name};
 use membership::{Member, Place, carry_out};
@@ -45,7 +45,7 @@
     core: Rc<RefCell<Membership>>,
     began: tokio::time::Instant,
     messages: mpsc::Sender<Message>,
-    current: Current,
+    current: LiveSettings,
     config: Config,
     /// Where discovery is; it does not move here.
     _moved: watch::Sender<SocketAddr>,
@@ -186,9 +186,9 @@
         let seen = Rc::new(RefCell::new(Seen { settings: self.version, ..Seen::default() }));
         let (messages, inbox) = mpsc::channel(MESSAGES);
         let (orders, discovery_orders) = mpsc::channel(16);
-        let current = Current::new(config.site.clone());
+        let current = LiveSettings::new(config.site.clone());
         let (moved, address) = watch::channel(config.discovery);
-        let discovery = Discovery::new(&config, current.clone(), address, messages.clone());
+        let discovery = DiscoveryClient::new(&config, current.clone(), address, messages.clone());
         let around = Surroundings {
             clock: self.clock,
             began,
--- a/crates/lab/src/scale/hollow/node.rs
+++ b/crates/lab/src/scale/hollow/node.rs
@@ -5,7 +5,7 @@
 use crate::scale::configuration::{GIVE_UP_MS, ROUTES_USED, WORK_MS};
 use hillpick::control::clock::Clock;
 use hillpick::control::config::Config;
-use hillpick::control::roster::{Roster, SubsetUpdate};
+use hillpick::control::server_table::{ServerTable, SubsetUpdate};
 use hillpick::control::updates::{DiscoveryCommand, ListUpdate};
 use hillpick::settings::{Replacement, Site};
 use hillpick::{
@@ -72,7 +72,7 @@
     balancer: Balancer,
     site: Arc<Site>,
     discovery: mpsc::Sender<DiscoveryCommand>,
-    roster: Option<Roster>,
+    roster: Option<ServerTable>,
     listed: Rc<Cell<bool>>,
     /// Since when it is ready, in ms of Unix time.
     ready_ms: Option<u64>,
@@ -114,7 +114,7 @@
         Node {
             clock,
             began,
-            roster: config.subset.map(|servers| Roster::new(servers, balancer.ring_layout())),
+            roster: config.subset.map(|servers| ServerTable::new(servers, balancer.ring_layout())),
             balancer,
             site: config.site.clone(),
             discovery,
@@ -178,7 +178,7 @@
         starts.dedup();
         match &mut self.roster {
             Some(roster) => {
-                let told = roster.take(update, self.balancer.ring_layout());
+                let told = roster.apply(update, self.balancer.ring_layout());
                 self.take_subset(told);
             }
             None => self.tell(update),
@@ -196,7 +196,7 @@
 
     fn move_subset(&mut self) {
         let layout = self.balancer.ring_layout();
-        let moved = self.roster.as_mut().and_then(|roster| roster.move_to(layout));
+        let moved = self.roster.as_mut().and_then(|roster| roster.set_layout(layout));
         moved.into_iter().for_each(|told| self.take_subset(told));
     }
 
--- a/crates/lab/src/scale/measure.rs
+++ b/crates/lab/src/scale/measure.rs
@@ -5,9 +5,9 @@
 use super::messages::Shape;
 use super::usage;
 use hillpick::control::clock::Clock;
-use hillpick::control::config::{Config, Current};
-use hillpick::control::discovery::Discovery;
-use hillpick::control::roster::Roster;
+use hillpick::control::config::{Config, LiveSettings};
+use hillpick::control::discovery::DiscoveryClient;
+use hillpick::control::server_table::ServerTable;
 use hillpick::control::updates::ListUpdate;
 use hillpick::{Balancer, Event};
 use hillpick_fleet::{Address, Identity, Membership, Name, Output};
@@ -66,7 +66,7 @@
     let (messages, mut inbox) = mpsc::channel(64);
     let (_orders, discovery_orders) = mpsc::channel(16);
     let (_moved, address) = watch::channel(agent);
-    let discovery = Discovery::new(&config, Current::new(config.site.clone()), address, messages);
+    let discovery = DiscoveryClient::new(&config, LiveSettings::new(config.site.clone()), address, messages);
     let ready = discovery.ready();
     let client = spawn_local(discovery.run(discovery_orders));
     let updates = whole_list(&mut inbox, &ready).await?;
@@ -76,11 +76,11 @@
 
     let before = allocated();
     let mut actions = Vec::new();
-    let mut roster = config.subset.map(|servers| Roster::new(servers, balancer.ring_layout()));
+    let mut roster = config.subset.map(|servers| ServerTable::new(servers, balancer.ring_layout()));
     for update in &updates {
         let mut update = ListUpdate { kind: update.kind, backends: update.backends.clone() };
         if let Some(roster) = &mut roster {
-            let told = roster.take(update, balancer.ring_layout());
+            let told = roster.apply(update, balancer.ring_layout());
             balancer.handle(clock.now(), Event::Rings(told.rings), &mut actions);
             update = told.update;
         }
--- a/src/bin/sillward/backend.rs
+++ b/src/bin/sillward/backend.rs
@@ -6,7 +6,7 @@
 use crate::messages::{Attempt, Ended, Message, Started, Stop};
 use bytes::{Bytes, BytesMut};
 use hillpick::control::clock::Clock;
-use hillpick::control::config::{Config, Current};
+use hillpick::control::config::{Config, LiveSettings};
 use hillpick::control::log::log;
 use hillpick::control::tcp;
 use hillpick::control::updates::Backend;
@@ -112,17 +112,17 @@
     places: RefCell<BTreeMap<ServerId, Place>>,
     open: Rc<Cell<usize>>,
     most_open: usize,
-    current: Current,
+    current: LiveSettings,
     pair: Rc<Pair>,
 }
 
 impl Pool {
-    pub fn start(clock: Clock, config: &Config, current: Current, pair: Rc<Pair>) -> Rc<Self> {
+    pub fn start(clock: Clock, config: &Config, current: LiveSettings, pair: Rc<Pair>) -> Rc<Self> {
         let pool = Rc::new(Pool {
             clock,
             places: RefCell::default(),
             open: Rc::default(),
-            most_open: config.backend_connections,
+            most_open: config.max_backend_connections,
             current,
             pair,
         });
--- a/src/bin/sillward/backend/tests.rs
+++ b/src/bin/sillward/backend/tests.rs
@@ -26,7 +26,7 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let config = Config::parse(config).expect("good");
-        let pool = Pool::start(Clock::start(), &config, Current::new(config.site.clone()), Rc::default());
+        let pool = Pool::start(Clock::start(), &config, LiveSettings::new(config.site.clone()), Rc::default());
         let entry = ServerEntry { id: SERVER, state: ServerState::Ready, ..ServerEntry::default() };
         let backend = Backend { entry, address: listener.local_addr().expect("its address") };
         pool.update(ListKind::Full, std::slice::from_ref(&backend), pool.clock.now());
--- a/src/bin/sillward/body.rs
+++ b/src/bin/sillward/body.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, Sleep, sleep_until};
 
 /// The most bytes of a body that are kept, either way.
-pub const KEPT: usize = hillpick::control::config::KEPT_BODY;
+pub const KEPT: usize = hillpick::control::config::MAX_BUFFERED_BODY_BYTES;
 /// No body of a request is longer: the operators' days have none over 32 MB.
 pub const LONGEST: u64 = 32 << 20;
 /// A peer may be silent for so long in the midst of a message.
--- a/src/bin/sillward/front.rs
+++ b/src/bin/sillward/front.rs
@@ -4,12 +4,12 @@
 use crate::client::{Client, Lapse, Leaves, READ_TIMEOUT};
 use crate::client_stream::ClientStream;
 use crate::handover::Pair;
-use crate::lifecycle::{ACCEPT_ON, LAST_WORDS, Lifecycle, Phase, State};
+use crate::lifecycle::{ACCEPT_ON, LAST_WORDS, Lifecycle, Phase, ProcessState};
 use crate::liveness::{Liveness, Peer, ask};
 use crate::messages::{Answer, Content, Forward, Message, Requester, Taken};
 use bytes::{Bytes, BytesMut};
 use hillpick::control::clock::Clock;
-use hillpick::control::config::{Config, Current};
+use hillpick::control::config::{Config, LiveSettings};
 use hillpick::control::log::log;
 use hillpick::control::tcp;
 use hillpick::settings::Site;
@@ -77,7 +77,7 @@
 
 pub struct Front {
     clock: Clock,
-    current: Current,
+    current: LiveSettings,
     messages: mpsc::Sender<Message>,
     node: Node,
     /// The last number that a request or a connection was given.
@@ -103,7 +103,7 @@
     pub fn new(
         clock: Clock,
         config: &Config,
-        current: Current,
+        current: LiveSettings,
         messages: mpsc::Sender<Message>,
         node: Node,
     ) -> Rc<Self> {
@@ -114,8 +114,8 @@
             node,
             numbers: Cell::new(0),
             clients: RefCell::default(),
-            most_clients: config.client_connections,
-            room: Arc::new(Semaphore::new(config.body_room_kib)),
+            most_clients: config.max_client_connections,
+            room: Arc::new(Semaphore::new(config.body_buffer_kib)),
             waiting: RefCell::default(),
             left: Notify::new(),
         })
@@ -129,7 +129,7 @@
         let mut phase = self.node.lifecycle.watch();
         tokio::select! {
             () = self.take_up(&listener) => {}
-            _ = phase.wait_for(|phase| phase.state == State::Terminating) => {}
+            _ = phase.wait_for(|phase| phase.state == ProcessState::Terminating) => {}
         }
         self.serve_waiting();
         // Whoever has the same queue and goes on serving takes what is in it. That one may go as well, or at the same
@@ -266,7 +266,7 @@
     }
 
     fn serve(self: &Rc<Self>, stream: TcpStream) {
-        let stream = Rc::new(RefCell::new(tcp::undelayed(stream)));
+        let stream = Rc::new(RefCell::new(tcp::with_nodelay(stream)));
         let client = Rc::new(Client::new(Liveness::of(&stream)));
         let number = self.next();
         self.clients.borrow_mut().insert(number, client.clone());
@@ -304,7 +304,7 @@
                     if polled.is_ready() {
                         return true;
                     }
-                    match client.must_leave(moved, self.node.lifecycle.now().state == State::Terminating) {
+                    match client.must_leave(moved, self.node.lifecycle.now().state == ProcessState::Terminating) {
                         Leaves::Now => return false,
                         Leaves::InOrder => {
                             connection.as_mut().graceful_shutdown();
--- a/src/bin/sillward/front/leaving.rs
+++ b/src/bin/sillward/front/leaving.rs
@@ -44,7 +44,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let config = Config::parse(CONFIG).expect("good");
-        let (clock, current) = (Clock::start(), Current::new(config.site.clone()));
+        let (clock, current) = (Clock::start(), LiveSettings::new(config.site.clone()));
         let (messages, mut sent) = mpsc::channel(4096);
         let (passed, inbox) = mpsc::channel(4096);
         let (orders, mut ordered) = mpsc::channel(16);
--- a/src/bin/sillward/front/tests.rs
+++ b/src/bin/sillward/front/tests.rs
@@ -12,7 +12,7 @@
     let config = Config::parse(config).expect("good");
     let (messages, inbox) = mpsc::channel(4096);
     let node = Node { ready: Rc::default(), lifecycle: Rc::new(Lifecycle::new()), pair: Rc::default() };
-    let current = Current::new(config.site.clone());
+    let current = LiveSettings::new(config.site.clone());
     (Front::new(Clock::start(), &config, current, messages, node), inbox)
 }
 
@@ -268,7 +268,7 @@
             }
             busy.abort();
             let told = Instant::now();
-            assert!(front.node.lifecycle.enter(State::Terminating));
+            assert!(front.node.lifecycle.enter(ProcessState::Terminating));
             let ran = spawn_local(front.clone().run(listener));
             let all: Vec<_> = open
                 .into_iter()
--- a/src/bin/sillward/handover.rs
+++ b/src/bin/sillward/handover.rs
@@ -2,8 +2,8 @@
 //! They meet at a Unix socket in `$TMPDIR`, which both have in common, and their connection stays open: as
 //! long as it does, two processes share the node's limits.
 
-use crate::lifecycle::{Lifecycle, State};
-use hillpick::control::config::SPARE_SOCKETS;
+use crate::lifecycle::{Lifecycle, ProcessState};
+use hillpick::control::config::RESERVED_SOCKETS;
 use hillpick::control::log::log;
 use hillpick::control::process::Siblings;
 use rustix::net::{
@@ -32,7 +32,7 @@
 /// What a process of this node tells the other one of itself, a byte whenever it changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Told {
-    state: State,
+    state: ProcessState,
     /// It takes connections from the queue that both have.
     accepts: bool,
 }
@@ -40,18 +40,18 @@
 impl Told {
     fn byte(self) -> u8 {
         let letter = match self.state {
-            State::Active => b'a',
-            State::Standby => b's',
-            State::Terminating => b't',
+            ProcessState::Active => b'a',
+            ProcessState::Standby => b's',
+            ProcessState::Terminating => b't',
         };
         if self.accepts { letter.to_ascii_uppercase() } else { letter }
     }
 
     fn of(byte: u8) -> Option<Self> {
         let state = match byte.to_ascii_lowercase() {
-            b'a' => State::Active,
-            b's' => State::Standby,
-            b't' => State::Terminating,
+            b'a' => ProcessState::Active,
+            b's' => ProcessState::Standby,
+            b't' => ProcessState::Terminating,
             _ => return None,
         };
         Some(Told { state, accepts: byte.is_ascii_uppercase() })
@@ -121,14 +121,14 @@
     /// lets go of it.
     pub fn other_serves(&self) -> bool {
         let Others { predecessor, successor } = *self.others.borrow();
-        let serves = |told: Told| told.accepts && told.state != State::Terminating;
+        let serves = |told: Told| told.accepts && told.state != ProcessState::Terminating;
         [predecessor, successor].into_iter().flatten().any(serves)
     }
 
     /// What this process may use of so many connections. Two processes both need what is spared for other things.
     pub fn share(&self, all: usize) -> usize {
         let two = self.has_predecessor() || self.has_successor();
-        if two { (all.saturating_sub(SPARE_SOCKETS / 2) / 2).max(1) } else { all }
+        if two { (all.saturating_sub(RESERVED_SOCKETS / 2) / 2).max(1) } else { all }
     }
 }
 
@@ -195,8 +195,8 @@
 }
 
 /// The node is one: what its staff told the process before holds here too. Its end does not.
-fn follow(state: State, lifecycle: &Lifecycle) {
-    if state != State::Terminating && state != lifecycle.now().state && lifecycle.enter(state) {
+fn follow(state: ProcessState, lifecycle: &Lifecycle) {
+    if state != ProcessState::Terminating && state != lifecycle.now().state && lifecycle.enter(state) {
         log(format_args!("{state:?}, as the process before this one"));
     }
 }
@@ -244,7 +244,7 @@
         match timeout(PATIENCE, send(&stream, [listener.as_fd(), meeting.as_fd()], own)).await {
             Ok(Ok(())) => {
                 log("passed the listening socket on to the process after this one");
-                let starts = Told { state: State::Active, accepts: false };
+                let starts = Told { state: ProcessState::Active, accepts: false };
                 pair.set(|others| others.successor = Some(starts));
                 let hear = |told| pair.set(|others| others.successor = Some(told));
                 keep_company(stream, &pair, &lifecycle, Some(own), hear).await;
@@ -317,7 +317,7 @@
             _ => None,
         });
         let told = bytes[..read.bytes].get(1).copied().and_then(Told::of);
-        Ok((sockets.flatten().collect(), told.unwrap_or(Told { state: State::Active, accepts: true })))
+        Ok((sockets.flatten().collect(), told.unwrap_or(Told { state: ProcessState::Active, accepts: true })))
     });
     received.await
 }
--- a/src/bin/sillward/handover/tests.rs
+++ b/src/bin/sillward/handover/tests.rs
@@ -96,25 +96,25 @@
         let (old, new) = (Rc::<Pair>::default(), Rc::<Pair>::default());
         let (before, after) = (alive(), alive());
         old.accept();
-        before.enter(State::Standby);
+        before.enter(ProcessState::Standby);
         let offers = spawn_local(offer(place.clone(), socket, None, old.clone(), before.clone()));
         until(|| place.exists()).await;
         let taken = take_over(&place, address, &new, &after).await.expect("the sockets");
         assert!(taken.meeting.is_some());
-        assert_eq!(after.now().state, State::Standby, "with the socket, not after it");
+        assert_eq!(after.now().state, ProcessState::Standby, "with the socket, not after it");
         assert!(new.other_serves());
         until(|| old.has_successor()).await;
         assert!(!old.other_serves(), "it does not accept yet");
         new.accept();
         until(|| old.other_serves()).await;
-        before.enter(State::Active);
-        until(|| after.now().state == State::Active).await;
+        before.enter(ProcessState::Active);
+        until(|| after.now().state == ProcessState::Active).await;
         // The new one's own drain is its own, and is not ended by the other's end.
-        after.enter(State::Standby);
-        before.enter(State::Terminating);
+        after.enter(ProcessState::Standby);
+        before.enter(ProcessState::Terminating);
         until(|| !new.other_serves()).await;
-        assert_eq!((after.now().state, new.has_predecessor()), (State::Standby, true));
-        after.enter(State::Terminating);
+        assert_eq!((after.now().state, new.has_predecessor()), (ProcessState::Standby, true));
+        after.enter(ProcessState::Terminating);
         until(|| !old.other_serves()).await;
         offers.abort();
         until(|| !new.has_predecessor()).await;
@@ -127,14 +127,14 @@
 fn what_is_in_the_queue_is_taken_by_one_of_two_processes_whichever_ends_first() {
     const CONFIG: &str = r#"{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings":
         {"Classes": [{"Name": "submit", "Target": 1, "GiveUp": 1, "Idempotency": "single_shot"}]}}"#;
-    let serves = Some(Told { state: State::Active, accepts: true });
-    let ends = Some(Told { state: State::Terminating, accepts: true });
+    let serves = Some(Told { state: ProcessState::Active, accepts: true });
+    let ends = Some(Told { state: ProcessState::Terminating, accepts: true });
     for (is_successor, then) in [(true, None), (true, ends), (false, None), (false, ends)] {
         for other_first in [true, false] {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             LocalSet::new().block_on(&runtime.expect("a runtime"), async {
                 let config = hillpick::control::config::Config::parse(CONFIG).expect("good");
-                let current = hillpick::control::config::Current::new(config.site.clone());
+                let current = hillpick::control::config::LiveSettings::new(config.site.clone());
                 let (messages, _inbox) = tokio::sync::mpsc::channel(16);
                 let (pair, lifecycle) = (Rc::<Pair>::default(), alive());
                 let node = crate::front::Node {
@@ -159,7 +159,7 @@
                 if other_first {
                     set(then);
                 }
-                lifecycle.enter(State::Terminating);
+                lifecycle.enter(ProcessState::Terminating);
                 let run = spawn_local(front.run(listener));
                 if !other_first {
                     for _ in 0..20 {
@@ -202,8 +202,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let config = hillpick::control::config::Config::parse(CONFIG).expect("good");
-        let most = config.client_connections;
-        let current = hillpick::control::config::Current::new(config.site.clone());
+        let most = config.max_client_connections;
+        let current = hillpick::control::config::LiveSettings::new(config.site.clone());
         let (messages, mut inbox) = tokio::sync::mpsc::channel(256);
         let (pair, lifecycle) = (Rc::<Pair>::default(), alive());
         let node = crate::front::Node {
@@ -234,7 +234,7 @@
                 }
             }
         }
-        pair.set(|others| others.successor = Some(Told { state: State::Active, accepts: false }));
+        pair.set(|others| others.successor = Some(Told { state: ProcessState::Active, accepts: false }));
         let half = pair.share(most);
         assert!(half < CLIENTS && CLIENTS <= most, "{half} of {most}");
         let mut stay = 0;
@@ -263,7 +263,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let config = hillpick::control::config::Config::parse(CONFIG).expect("good");
-        let current = hillpick::control::config::Current::new(config.site.clone());
+        let current = hillpick::control::config::LiveSettings::new(config.site.clone());
         let pair = Rc::<Pair>::default();
         let clock = hillpick::control::clock::Clock::start();
         let pool = crate::backend::Pool::start(clock, &config, current, pair.clone());
@@ -271,7 +271,7 @@
         let address = listener.local_addr().expect("its address");
         let entry =
             |id| hillpick::ServerEntry { id, state: hillpick::ServerState::Ready, ..Default::default() };
-        let ids = (0..config.backend_connections as u64).map(hillpick::ServerId);
+        let ids = (0..config.max_backend_connections as u64).map(hillpick::ServerId);
         let backends: Vec<_> =
             ids.map(|id| hillpick::control::updates::Backend { entry: entry(id), address }).collect();
         pool.update(hillpick::ListKind::Full, &backends, clock.now());
@@ -293,10 +293,10 @@
         for backend in &backends {
             assert_eq!(pool.clone().probe(backend.entry.id).await.0, hillpick::Outcome::Served);
         }
-        let half = pair.share(config.backend_connections);
+        let half = pair.share(config.max_backend_connections);
         assert_eq!((open.get(), closed.get(), half), (backends.len(), 0, backends.len()));
-        pair.set(|others| others.predecessor = Some(Told { state: State::Active, accepts: true }));
-        let beyond = backends.len() - pair.share(config.backend_connections);
+        pair.set(|others| others.predecessor = Some(Told { state: ProcessState::Active, accepts: true }));
+        let beyond = backends.len() - pair.share(config.max_backend_connections);
         until(|| closed.get() >= beyond).await;
         assert_eq!(closed.get(), beyond);
     });
--- a/src/bin/sillward/lifecycle.rs
+++ b/src/bin/sillward/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The one owner of what the node is about: serving, drained for its staff, or on its way out.
 
-pub use hillpick::control::process::State;
+pub use hillpick::control::process::ProcessState;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -18,28 +18,28 @@
 /// A state, and since when.
 #[derive(Clone, Copy, Debug)]
 pub struct Phase {
-    pub state: State,
+    pub state: ProcessState,
     pub since: Instant,
 }
 
 impl Phase {
     /// Clients are to leave: told so with each answer.
     pub fn drains(self) -> bool {
-        self.state != State::Active
+        self.state != ProcessState::Active
     }
 }
 
 pub struct Lifecycle {
     phase: watch::Sender<Phase>,
     /// The state of that phase alone, for who runs outside of this program as well.
-    state: watch::Sender<State>,
+    state: watch::Sender<ProcessState>,
 }
 
 impl Lifecycle {
     pub fn new() -> Self {
         Lifecycle {
-            phase: watch::Sender::new(Phase { state: State::Active, since: Instant::now() }),
-            state: watch::Sender::new(State::Active),
+            phase: watch::Sender::new(Phase { state: ProcessState::Active, since: Instant::now() }),
+            state: watch::Sender::new(ProcessState::Active),
         }
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// The state alone.
-    pub fn watch_state(&self) -> watch::Receiver<State> {
+    pub fn watch_state(&self) -> watch::Receiver<ProcessState> {
         self.state.subscribe()
     }
 
@@ -60,7 +60,7 @@
     pub async fn last_byte(&self) {
         let mut phase = self.watch();
         let terminating =
-            phase.wait_for(|phase| phase.state == State::Terminating).await.map(|phase| phase.since);
+            phase.wait_for(|phase| phase.state == ProcessState::Terminating).await.map(|phase| phase.since);
         match terminating {
             Ok(since) => tokio::time::sleep_until(since + LAST_BYTE).await,
             Err(_) => std::future::pending().await, // its owner has gone, and the process with it
@@ -69,9 +69,9 @@
 
     /// Enters a state, and says whether the node is in it now. To enter it again changes nothing, not even since
     /// when: a drain that is called for twice ends no later. Nothing follows termination.
-    pub fn enter(&self, state: State) -> bool {
+    pub fn enter(&self, state: ProcessState) -> bool {
         self.phase.send_if_modified(|phase| {
-            let changes = phase.state != state && phase.state != State::Terminating;
+            let changes = phase.state != state && phase.state != ProcessState::Terminating;
             if changes {
                 *phase = Phase { state, since: Instant::now() };
             }
@@ -91,16 +91,16 @@
     async fn repeated_calls_change_nothing_and_termination_is_final() {
         let lifecycle = Lifecycle::new();
         let told = lifecycle.watch_state();
-        assert!(lifecycle.enter(State::Active) && !lifecycle.now().drains());
-        assert!(lifecycle.enter(State::Standby) && lifecycle.now().drains());
-        assert_eq!(*told.borrow(), State::Standby);
+        assert!(lifecycle.enter(ProcessState::Active) && !lifecycle.now().drains());
+        assert!(lifecycle.enter(ProcessState::Standby) && lifecycle.now().drains());
+        assert_eq!(*told.borrow(), ProcessState::Standby);
         let since = lifecycle.now().since;
         tokio::time::advance(Duration::from_secs(1)).await;
-        assert!(lifecycle.enter(State::Standby));
+        assert!(lifecycle.enter(ProcessState::Standby));
         assert_eq!(lifecycle.now().since, since);
-        assert!(lifecycle.enter(State::Active) && !lifecycle.now().drains());
-        assert!(lifecycle.enter(State::Terminating));
-        assert!(!lifecycle.enter(State::Active) && !lifecycle.enter(State::Standby));
-        assert_eq!((lifecycle.now().state, *told.borrow()), (State::Terminating, State::Terminating));
+        assert!(lifecycle.enter(ProcessState::Active) && !lifecycle.now().drains());
+        assert!(lifecycle.enter(ProcessState::Terminating));
+        assert!(!lifecycle.enter(ProcessState::Active) && !lifecycle.enter(ProcessState::Standby));
+        assert_eq!((lifecycle.now().state, *told.borrow()), (ProcessState::Terminating, ProcessState::Terminating));
     }
 }
--- a/src/bin/sillward/liveness/tests.rs
+++ b/src/bin/sillward/liveness/tests.rs
@@ -87,5 +87,5 @@
     assert!(opened.nodelay().expect("an option"));
     let accepted = listener.accept().await.expect("the client").0;
     assert!(!accepted.nodelay().expect("an option"), "by itself it is off");
-    assert!(hillpick::control::tcp::undelayed(accepted).nodelay().expect("an option"));
+    assert!(hillpick::control::tcp::with_nodelay(accepted).nodelay().expect("an option"));
 }
--- a/src/bin/sillward/main.rs
+++ b/src/bin/sillward/main.rs
@@ -17,12 +17,12 @@
 
 use handover::{Pair, Sockets};
 use hillpick::control::clock::Clock;
-use hillpick::control::config::{Config, Current, NoConfig};
-use hillpick::control::discovery::Discovery;
+use hillpick::control::config::{Config, LiveSettings, ConfigFileError};
+use hillpick::control::discovery::DiscoveryClient;
 use hillpick::control::log::log;
-use hillpick::control::peers::{Peers, view::View};
+use hillpick::control::peers::{MembershipDriver, membership_view::MembershipView};
 use hillpick::settings::Replacement;
-use lifecycle::{Lifecycle, State};
+use lifecycle::{Lifecycle, ProcessState};
 use messages::Message;
 use std::io;
 use std::net::SocketAddr;
@@ -101,16 +101,16 @@
     let clock = Clock::start();
     let (messages, inbox) = mpsc::channel(MESSAGES);
     let (orders, discovery_orders) = mpsc::channel(16);
-    let current = Current::new(config.site.clone());
+    let current = LiveSettings::new(config.site.clone());
     let pool = backend::Pool::start(clock, &config, current.clone(), pair.clone());
     let (moved, address) = watch::channel(config.discovery);
-    let discovery = Discovery::new(&config, current.clone(), address, messages.clone());
+    let discovery = DiscoveryClient::new(&config, current.clone(), address, messages.clone());
     let ready = discovery.ready();
     let node = node::Node::new(clock, &config, pool, messages.clone(), orders);
-    let view = View::default();
+    let view = MembershipView::default();
     let evacuation = config.zones.as_ref().map(|zones| Duration::from_secs_f64(zones.evacuation_s));
     let state = lifecycle.watch_state();
-    let peers = Peers::new(&config, view.clone(), messages.clone(), state, pair.clone());
+    let peers = MembershipDriver::new(&config, view.clone(), messages.clone(), state, pair.clone());
     if let Some(peers) = peers.map_err(|e| e.to_string())? {
         let socket = peers.bind().await.map_err(|e| e.to_string())?;
         tokio::task::spawn_local(peers.run(socket));
@@ -140,7 +140,7 @@
             _ = interrupt.recv() => {}
         }
         log("told to stop: unready, finishing what is held");
-        lifecycle.enter(State::Terminating);
+        lifecycle.enter(ProcessState::Terminating);
         // Whoever tells it again has been heard already.
         loop {
             tokio::select! {
@@ -149,7 +149,7 @@
             }
         }
     });
-    tokio::task::spawn_local(reload(hangup, config.without_known(), current, moved, messages));
+    tokio::task::spawn_local(reload(hangup, config.without_known_list(), current, moved, messages));
     tokio::select! {
         () = front.run(listener) => Ok(()),
         ended = &mut node => Err(format!("the node ended: {ended:?}")),
@@ -173,7 +173,7 @@
 async fn reload(
     mut hangup: Signal,
     running: Config,
-    current: Current,
+    current: LiveSettings,
     moved: watch::Sender<SocketAddr>,
     messages: mpsc::Sender<Message>,
 ) {
@@ -202,10 +202,10 @@
 }
 
 /// Reads the configuration that follows `running`, a large one beside the thread that serves.
-async fn read_again(running: Arc<Config>) -> Result<(Config, Replacement), NoConfig> {
+async fn read_again(running: Arc<Config>) -> Result<(Config, Replacement), ConfigFileError> {
     if Config::file_length().is_some_and(|length| length <= READ_BETWEEN_REQUESTS) {
-        return running.again();
+        return running.reload();
     }
-    let read = tokio::task::spawn_blocking(move || running.again());
-    read.await.unwrap_or_else(|broken| Err(NoConfig::BrokeOff(broken.to_string())))
+    let read = tokio::task::spawn_blocking(move || running.reload());
+    read.await.unwrap_or_else(|broken| Err(ConfigFileError::ReadAborted(broken.to_string())))
 }
--- a/src/bin/sillward/node.rs
+++ b/src/bin/sillward/node.rs
@@ -9,7 +9,7 @@
 use hillpick::control::clock::Clock;
 use hillpick::control::config::Config;
 use hillpick::control::log::log;
-use hillpick::control::roster::{Roster, SubsetUpdate};
+use hillpick::control::server_table::{ServerTable, SubsetUpdate};
 use hillpick::control::updates::{DiscoveryCommand, ListUpdate};
 use hillpick::settings::{Replacement, Site};
 use hillpick::*;
@@ -65,7 +65,7 @@
     messages: mpsc::Sender<Message>,
     discovery: mpsc::Sender<DiscoveryCommand>,
     /// All of the list, where balancer and pool hold a subset of it.
-    roster: Option<Roster>,
+    roster: Option<ServerTable>,
     /// The settings that the module goes by.
     site: Arc<Site>,
     held: BTreeMap<RequestId, Held>,
@@ -88,7 +88,7 @@
             messages,
             discovery,
             site: config.site.clone(),
-            roster: config.subset.map(|servers| Roster::new(servers, balancer.ring_layout())),
+            roster: config.subset.map(|servers| ServerTable::new(servers, balancer.ring_layout())),
             balancer,
             held: BTreeMap::new(),
             timers: BinaryHeap::new(),
@@ -175,7 +175,7 @@
     fn on_list(&mut self, news: ListUpdate) {
         match &mut self.roster {
             Some(roster) => {
-                let told = roster.take(news, self.balancer.ring_layout());
+                let told = roster.apply(news, self.balancer.ring_layout());
                 self.take_subset(told);
             }
             None => self.take_list(news),
@@ -185,7 +185,7 @@
     /// The node's place among the others may have changed, and its part of the rings with it.
     fn move_subset(&mut self) {
         let layout = self.balancer.ring_layout();
-        let moved = self.roster.as_mut().and_then(|roster| roster.move_to(layout));
+        let moved = self.roster.as_mut().and_then(|roster| roster.set_layout(layout));
         moved.into_iter().for_each(|told| self.take_subset(told));
     }
 
@@ -328,7 +328,7 @@
     fn subset(&self) -> Option<SubsetTold> {
         let (roster, layout) = (self.roster.as_ref()?, self.balancer.ring_layout());
         let RingLayout { node, nodes, .. } = layout;
-        Some(SubsetTold { ready: roster.ready(), held: roster.held(), node, nodes })
+        Some(SubsetTold { ready: roster.ready_count(), held: roster.held_count(), node, nodes })
     }
 
     /// How the zones stand, after an order of the staff's; `None` where the node does not go by zones.
--- a/src/bin/sillward/node/tests.rs
+++ b/src/bin/sillward/node/tests.rs
@@ -4,7 +4,7 @@
 use crate::body::{KEPT, Piece};
 use crate::messages::Content;
 use bytes::Bytes;
-use hillpick::control::config::Current;
+use hillpick::control::config::LiveSettings;
 use hillpick::control::updates::{Backend, ListUpdate};
 use hyper::Method;
 use hyper::header::HeaderValue;
@@ -31,7 +31,7 @@
     LocalSet::new().block_on(&runtime, async {
         let (clock, config) = (Clock::start(), Config::parse(config).expect("good"));
         let ((messages, inbox), (orders, _orders)) = (mpsc::channel(16), mpsc::channel(16));
-        let pool = Pool::start(clock, &config, Current::new(config.site.clone()), Rc::default());
+        let pool = Pool::start(clock, &config, LiveSettings::new(config.site.clone()), Rc::default());
         test(Node::new(clock, &config, pool, messages, orders), inbox).await
     });
 }
--- a/src/bin/sillward/ops.rs
+++ b/src/bin/sillward/ops.rs
@@ -1,11 +1,11 @@
 //! The operations address, for the staff: the node's state, and the calls that drain it and end the drain.
 //! It shares nothing with the clients' side but the lifecycle, so that no load there delays an answer here.
 
-use crate::lifecycle::{Lifecycle, State};
+use crate::lifecycle::{Lifecycle, ProcessState};
 use crate::messages::{Evacuation, Message, ZoneTold};
 use bytes::Bytes;
 use hillpick::control::log::log;
-use hillpick::control::peers::view::View;
+use hillpick::control::peers::membership_view::MembershipView;
 use hillpick::control::tcp;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -41,7 +41,7 @@
     /// Whether the node holds a list of backends.
     ready: Rc<Cell<bool>>,
     /// What it knows of the other nodes.
-    view: View,
+    view: MembershipView,
     /// How long an evacuation lasts if the call does not say, where the node goes by zones.
     evacuation: Option<Duration>,
     messages: mpsc::Sender<Message>,
@@ -55,7 +55,7 @@
     Subset,
     Evacuate(&'a str),
     Restore(&'a str),
-    Enter(State),
+    Enter(ProcessState),
 }
 
 impl<'a> Call<'a> {
@@ -65,8 +65,8 @@
             "/members" => Call::Members,
             "/zones" => Call::Zones,
             "/subset" => Call::Subset,
-            "/standby" => Call::Enter(State::Standby),
-            "/active" => Call::Enter(State::Active),
+            "/standby" => Call::Enter(ProcessState::Standby),
+            "/active" => Call::Enter(ProcessState::Active),
             _ => match path.strip_prefix("/zones/")?.split_once('/')? {
                 (zone, "evacuate") => Call::Evacuate(zone),
                 (zone, "restore") => Call::Restore(zone),
@@ -87,7 +87,7 @@
     pub fn new(
         lifecycle: Rc<Lifecycle>,
         ready: Rc<Cell<bool>>,
-        view: View,
+        view: MembershipView,
         evacuation: Option<Duration>,
         messages: mpsc::Sender<Message>,
     ) -> Rc<Self> {
@@ -120,7 +120,7 @@
         let mut server = http1::Builder::new();
         let server = server.keep_alive(false).max_buf_size(BUFFER);
         // What is no HTTP is answered by hyper, and what is no whole call just ends.
-        let _ = timeout(CALL_TIMEOUT, server.serve_connection(TokioIo::new(tcp::undelayed(stream)), service))
+        let _ = timeout(CALL_TIMEOUT, server.serve_connection(TokioIo::new(tcp::with_nodelay(stream)), service))
             .await;
     }
 
@@ -200,33 +200,33 @@
     /// Yes once this process can serve: it listens before it takes calls here, so that the list decides.
     fn status(&self) -> Response<Full<Bytes>> {
         match (self.lifecycle.now().state, self.ready.get()) {
-            (State::Terminating, _) => told(StatusCode::SERVICE_UNAVAILABLE, "terminating"),
+            (ProcessState::Terminating, _) => told(StatusCode::SERVICE_UNAVAILABLE, "terminating"),
             (_, false) => told(StatusCode::SERVICE_UNAVAILABLE, "starting: no list of servers yet"),
-            (State::Active, true) => told(StatusCode::OK, "active"),
-            (State::Standby, true) => told(StatusCode::OK, "standby"),
+            (ProcessState::Active, true) => told(StatusCode::OK, "active"),
+            (ProcessState::Standby, true) => told(StatusCode::OK, "standby"),
         }
     }
 
     /// What this node knows of the others.
     fn members(&self) -> Response<Full<Bytes>> {
-        let Some(view) = self.view.tell() else {
+        let Some(view) = self.view.to_json() else {
             return told(StatusCode::NOT_FOUND, "no fleet is configured");
         };
         json(&view)
     }
 
-    fn enter(&self, state: State) -> Response<Full<Bytes>> {
+    fn enter(&self, state: ProcessState) -> Response<Full<Bytes>> {
         let before = self.lifecycle.now().state;
-        if before == State::Terminating {
+        if before == ProcessState::Terminating {
             // Clients are being sent away already, and that can't be undone.
-            let status = if state == State::Standby { StatusCode::OK } else { StatusCode::CONFLICT };
+            let status = if state == ProcessState::Standby { StatusCode::OK } else { StatusCode::CONFLICT };
             return told(status, "terminating");
         }
         self.lifecycle.enter(state);
         if before != state {
             log(format_args!("the operators' call: from {before:?} to {state:?}"));
         }
-        told(StatusCode::OK, if state == State::Standby { "standby" } else { "active" })
+        told(StatusCode::OK, if state == ProcessState::Standby { "standby" } else { "active" })
     }
 }
 
--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -1,17 +1,17 @@
 //! What a node is told at its start: the file that `PROXY_CONFIG` names.
 
-mod problem;
-mod shape;
+mod error;
+mod key_shape;
 #[cfg(test)]
 mod tests;
 
 use crate::LEAST_SUBSET;
-use crate::control::roster::LISTED_BYTES;
+use crate::control::server_table::LISTED_SERVER_BYTES;
 use crate::settings::{self, Names, Replacement, Site, ZonesText};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
-use shape::{Shape, lacks};
+use key_shape::{Shape, lacks};
 use std::cell::RefCell;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::PathBuf;
@@ -20,26 +20,26 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-pub use problem::{NoConfig, Problem};
+pub use error::{ConfigFileError, ConfigError};
 
 /// The most bytes of a body that are kept, either way.
-pub const KEPT_BODY: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
 /// The least connections with which a node can serve.
 const LEAST: usize = 3;
 
 /// Descriptors for all but connections: standard streams, listener, runtime, discovery, the operators' calls, dials that
 /// end.
-pub const SPARE_SOCKETS: usize = 48;
+pub const RESERVED_SOCKETS: usize = 48;
 /// What a listed server takes of a node's memory at most, in bytes: its places in the module, the pool and the discovery
 /// client, and its part of a list that is being taken in.
-pub const SERVER_BYTES: usize = 1024;
+pub const HELD_SERVER_BYTES: usize = 1024;
 /// The most that a subset may be, for each ring.
 pub const MOST_SUBSET: usize = 16_384;
 /// So many servers may always be listed.
 const SHORT_LIST: usize = 2_000;
 /// Members that are kept, and addresses of nodes that are read.
-pub const MOST_PEERS: usize = hillpick_fleet::MAX_MEMBERS;
+pub const MAX_PEERS: usize = hillpick_fleet::MAX_MEMBERS;
 
 #[derive(Deserialize)]
 struct File<'a> {
@@ -97,11 +97,11 @@
 
 /// How a node takes part in membership.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
+pub struct FleetConfig {
     /// The cluster's name: others' messages are dropped.
     pub cluster: String,
     /// How often it probes another.
-    pub period: Duration,
+    pub probe_period: Duration,
     /// Where it hears the others.
     pub listen: SocketAddr,
     /// The node of each number in the tier, this one's own included; or, where nodes are known by addresses that all see
@@ -139,20 +139,20 @@
     /// For random numbers.
     pub seed: u64,
     /// The most client connections.
-    pub client_connections: usize,
+    pub max_client_connections: usize,
     /// The most connections to backends.
-    pub backend_connections: usize,
+    pub max_backend_connections: usize,
     /// How much of clients' bodies may be kept at a time.
-    pub body_room_kib: usize,
-    /// The most servers in a list: half of the memory, at [`SERVER_BYTES`] each, or [`LISTED_BYTES`] where a subset is held.
-    pub longest_list: usize,
+    pub body_buffer_kib: usize,
+    /// The most servers in a list: half of the memory, at [`HELD_SERVER_BYTES`] each, or [`LISTED_SERVER_BYTES`] where a subset is held.
+    pub max_listed_servers: usize,
     /// How many servers of each ring the node holds, if it does not hold all.
     pub subset: Option<usize>,
     /// The list of backends as this node last had it: discovery's JSON, perhaps old. Large; whoever keeps the
-    /// configuration gives it up by [`Config::without_known`] once discovery has it.
-    pub known: Option<String>,
+    /// configuration gives it up by [`Config::without_known_list`] once discovery has it.
+    pub known_list: Option<String>,
     /// Membership, if the node takes part in it.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetConfig>,
     /// Zones and regions, if the node goes by them.
     pub zones: Option<ZonesText>,
     /// The settings.
@@ -163,12 +163,12 @@
 
 /// The settings in force. All parts of the node share them, so that they change for all at once.
 #[derive(Clone)]
-pub struct Current(Rc<RefCell<Arc<Site>>>);
+pub struct LiveSettings(Rc<RefCell<Arc<Site>>>);
 
-impl Current {
+impl LiveSettings {
     /// Settings to begin with.
     pub fn new(site: Arc<Site>) -> Self {
-        Current(Rc::new(RefCell::new(site)))
+        LiveSettings(Rc::new(RefCell::new(site)))
     }
 
     /// The settings that hold now.
@@ -184,7 +184,7 @@
 
 impl Config {
     /// Reads the file that `PROXY_CONFIG` names. The other `PROXY_` variables say nothing that it does not.
-    pub fn from_env() -> Result<Self, NoConfig> {
+    pub fn from_env() -> Result<Self, ConfigFileError> {
         Config::read(|_| Ok(()))
     }
 
@@ -196,22 +196,22 @@
     }
 
     /// The same without the list of backends that it brought.
-    pub fn without_known(self) -> Self {
-        Config { known: None, ..self }
+    pub fn without_known_list(self) -> Self {
+        Config { known_list: None, ..self }
     }
 
-    fn read(check: impl FnOnce(&mut Self) -> Result<(), Problem>) -> Result<Self, NoConfig> {
-        let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or(NoConfig::NotNamed)?);
+    fn read(check: impl FnOnce(&mut Self) -> Result<(), ConfigError>) -> Result<Self, ConfigFileError> {
+        let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or(ConfigFileError::NotNamed)?);
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
-            Err(source) => return Err(NoConfig::Unreadable { path, source }),
+            Err(source) => return Err(ConfigFileError::Unreadable { path, source }),
         };
         let checked = Config::parse(&text).and_then(|mut new| check(&mut new).map(|()| new));
         let folded = checked.map(|mut new| {
             new.shape.fold();
             new
         });
-        folded.map_err(|problem| NoConfig::Bad { path, problem })
+        folded.map_err(|problem| ConfigFileError::Bad { path, problem })
     }
 
     /// Reads it again for a node that runs with this one. Only settings and the address of discovery may have
@@ -220,16 +220,16 @@
     ///
     /// # Errors
     /// If it can't be read, is no configuration that a node could run with, or none that can follow this one.
-    pub fn again(&self) -> Result<(Self, Replacement), NoConfig> {
-        let new = Config::read(|new| new.replaces(self))?.without_known();
+    pub fn reload(&self) -> Result<(Self, Replacement), ConfigFileError> {
+        let new = Config::read(|new| new.replaces(self))?.without_known_list();
         let replacement = Replacement::new(new.site.clone(), &self.site);
         Ok((new, replacement))
     }
 
-    fn replaces(&mut self, running: &Config) -> Result<(), Problem> {
+    fn replaces(&mut self, running: &Config) -> Result<(), ConfigError> {
         lacks(&running.shape, &self.shape, "").map_or(Ok(()), Err)?;
         if self.site.settings.list_on_request != running.site.settings.list_on_request {
-            return Err(Problem::RegistryMode);
+            return Err(ConfigError::RegistryMode);
         }
         let site = Arc::make_mut(&mut self.site); // nobody else has it yet, so that nothing is copied
         site.number_as(&running.site);
@@ -241,16 +241,16 @@
     ///
     /// # Errors
     /// If it is no configuration that a node could run with; the error names the place and what was expected.
-    pub fn parse(text: &str) -> Result<Self, Problem> {
-        let file: File = serde_json::from_str(text).map_err(|e| Problem::form(text, 0, &e))?;
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
+        let file: File = serde_json::from_str(text).map_err(|e| ConfigError::form(text, 0, &e))?;
         let seed = match file.seed.as_str() {
             "" => 0,
-            seed => u64::from_str_radix(seed, 16).map_err(|_| Problem::Seed(seed.into()))?,
+            seed => u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Seed(seed.into()))?,
         };
         let raw = file.settings.get();
         let mut site = settings::parse(raw.as_bytes()).map_err(|problem| match &problem {
             settings::Problem::Form(error) => {
-                Problem::InSettings(Box::new(Problem::form(text, text.find(raw).unwrap_or_default(), error)))
+                ConfigError::InSettings(Box::new(ConfigError::form(text, text.find(raw).unwrap_or_default(), error)))
             }
             _ => problem.into(),
         })?;
@@ -263,24 +263,24 @@
         // Two numbers would mean the same class or tenant if a name stood twice.
         let mut zone_names = Names::default();
         for name in &site.zone_names {
-            zone_names.push(name).map_err(Problem::ZoneNames)?;
+            zone_names.push(name).map_err(ConfigError::ZoneNames)?;
         }
         for (key, names) in
             [("Classes", &site.class_names), ("Projects", &site.tenant_names), ("Localities", &zone_names)]
         {
             if let Some(problem) = names.problem() {
-                return Err(Problem::name(key, names, problem));
+                return Err(ConfigError::name(key, names, problem));
             }
         }
         for (class, name) in site.settings.classes.iter().zip(site.class_names.iter()) {
             for (key, time) in [("GiveUp", class.deadline), ("Target", class.aim)] {
                 if time.is_zero() {
-                    return Err(Problem::Time { name: name.to_owned(), key });
+                    return Err(ConfigError::Time { name: name.to_owned(), key });
                 }
             }
         }
         if site.settings.limits.max_attempts == 0 {
-            return Err(Problem::NoAttempts);
+            return Err(ConfigError::NoAttempts);
         }
         let subset = match file.subset {
             Some(subset) => Some(subset),
@@ -288,9 +288,9 @@
         };
         let subset = subset.map(|subset| subset.servers);
         if let Some(servers) = subset.filter(|servers| !(LEAST_SUBSET..=MOST_SUBSET).contains(servers)) {
-            return Err(Problem::Subset(servers));
+            return Err(ConfigError::Subset(servers));
         }
-        let server_bytes = if subset.is_some() { LISTED_BYTES } else { SERVER_BYTES };
+        let server_bytes = if subset.is_some() { LISTED_SERVER_BYTES } else { HELD_SERVER_BYTES };
         let wanted = match file.fleet {
             Some(fleet) => Some(fleet),
             None if site.peers && file.peer_listen.is_some() => from_env::<FleetFile>("SILLWARD_FLEET")?,
@@ -298,11 +298,11 @@
         };
         let fleet = wanted.map(|fleet| self::fleet(fleet, &file.name, file.peer_listen, file.peers, &site));
         let fleet = fleet.transpose()?;
-        let mut shape: Shape = serde_json::from_str(text).map_err(|e| Problem::form(text, 0, &e))?;
+        let mut shape: Shape = serde_json::from_str(text).map_err(|e| ConfigError::form(text, 0, &e))?;
         shape.forget("known");
-        let connections = file.limits.sockets.saturating_sub(SPARE_SOCKETS);
+        let connections = file.limits.sockets.saturating_sub(RESERVED_SOCKETS);
         if connections < LEAST {
-            return Err(Problem::Sockets(file.limits.sockets));
+            return Err(ConfigError::Sockets(file.limits.sockets));
         }
         Ok(Config {
             name: file.name,
@@ -312,14 +312,14 @@
             seed,
             // Clients hold a third of all descriptors for requests, and each of these wants one to a backend,
             // sometimes a second; the rest is for clients that ask nothing.
-            client_connections: connections - connections * 2 / 5,
-            backend_connections: connections * 2 / 5,
+            max_client_connections: connections - connections * 2 / 5,
+            max_backend_connections: connections * 2 / 5,
             // A quarter of the memory; one body at least, or nobody would ever be read.
-            body_room_kib: (file.limits.memory_mb.saturating_mul(1024) / 4)
-                .clamp(KEPT_BODY / 1024, Semaphore::MAX_PERMITS),
-            longest_list: (file.limits.memory_mb.saturating_mul(1 << 20) / 2 / server_bytes).max(SHORT_LIST),
+            body_buffer_kib: (file.limits.memory_mb.saturating_mul(1024) / 4)
+                .clamp(MAX_BUFFERED_BODY_BYTES / 1024, Semaphore::MAX_PERMITS),
+            max_listed_servers: (file.limits.memory_mb.saturating_mul(1 << 20) / 2 / server_bytes).max(SHORT_LIST),
             subset,
-            known: file.known.map(|known| known.get().to_owned()),
+            known_list: file.known.map(|known| known.get().to_owned()),
             fleet,
             zones,
             site: Arc::new(site),
@@ -331,10 +331,10 @@
 /// An object of the configuration that stands in the environment, for nodes whose configuration is written by somebody who
 /// knows nothing of it: `SILLWARD_FLEET` holds where the file has no `fleet` and allows messages between nodes,
 /// `SILLWARD_ZONES` where it has no `zones`, `SILLWARD_SUBSET` where it has no `subset`.
-fn from_env<T: DeserializeOwned>(name: &'static str) -> Result<Option<T>, Problem> {
+fn from_env<T: DeserializeOwned>(name: &'static str) -> Result<Option<T>, ConfigError> {
     let Some(text) = std::env::var_os(name) else { return Ok(None) };
     let parsed = serde_json::from_str(&text.to_string_lossy());
-    parsed.map(Some).map_err(|source| Problem::Environment { name, source })
+    parsed.map(Some).map_err(|source| ConfigError::Environment { name, source })
 }
 
 /// Membership, if all that it needs is there and the settings allow it.
@@ -344,32 +344,32 @@
     listen: Option<SocketAddr>,
     peers: Vec<SocketAddr>,
     site: &Site,
-) -> Result<Fleet, Problem> {
+) -> Result<FleetConfig, ConfigError> {
     if !site.peers {
-        return Err(Problem::Forbidden);
+        return Err(ConfigError::Forbidden);
     }
     if hillpick_fleet::Name::try_from(name.to_string()).is_err() {
-        return Err(Problem::FleetName(name.into()));
+        return Err(ConfigError::FleetName(name.into()));
     }
     if !(100..=60_000).contains(&file.probe_ms) {
-        return Err(Problem::ProbeMs(file.probe_ms));
+        return Err(ConfigError::ProbeMs(file.probe_ms));
     }
     let node = site.settings.node as usize;
     let count = peers.len();
     if file.advertise.is_some() {
         if let Some(peer) = peers.iter().find(|peer| !peer.is_ipv4()) {
-            return Err(Problem::Peer(*peer));
+            return Err(ConfigError::Peer(*peer));
         }
-        if count > MOST_PEERS {
-            return Err(Problem::ManyPeers(count));
+        if count > MAX_PEERS {
+            return Err(ConfigError::ManyPeers(count));
         }
-    } else if node >= count || count > MOST_PEERS {
-        return Err(Problem::FewPeers { count, node });
+    } else if node >= count || count > MAX_PEERS {
+        return Err(ConfigError::FewPeers { count, node });
     }
-    let listen = listen.ok_or(Problem::NoPeerListen)?;
-    Ok(Fleet {
+    let listen = listen.ok_or(ConfigError::NoPeerListen)?;
+    Ok(FleetConfig {
         cluster: file.cluster,
-        period: Duration::from_millis(file.probe_ms),
+        probe_period: Duration::from_millis(file.probe_ms),
         listen,
         peers,
         advertise: file.advertise,
--- a/src/control/config/problem.rs
+++ b/src/control/config/error.rs
@@ -1,6 +1,6 @@
 //! What can be wrong with a configuration, each with what an operator can do.
 
-use super::{LEAST, MOST_PEERS, MOST_SUBSET, SPARE_SOCKETS};
+use super::{LEAST, MAX_PEERS, MOST_SUBSET, RESERVED_SOCKETS};
 use crate::LEAST_SUBSET;
 use crate::settings::{self, NameProblem, Names, TooManyNames};
 use std::fmt::Display;
@@ -12,7 +12,7 @@
 
 /// Why there is no configuration. One line, whatever stands in the file.
 #[derive(Debug, thiserror::Error)]
-pub enum NoConfig {
+pub enum ConfigFileError {
     /// Nothing names the file: set the variable.
     #[error("bad configuration: PROXY_CONFIG is not set: expected the path of a JSON file")]
     NotNamed,
@@ -26,20 +26,20 @@
     },
     /// The thread that reads it has ended before it was done: send SIGHUP again.
     #[error("bad configuration: the reading of the file broke off: {0}")]
-    BrokeOff(String),
+    ReadAborted(String),
     /// What stands in it is no good.
     #[error("bad configuration: {}: {}", one_line(path.display()), one_line(problem))]
     Bad {
         /// The file.
         path: PathBuf,
         /// What is wrong in it.
-        problem: Problem,
+        problem: ConfigError,
     },
 }
 
 /// What is wrong in a configuration: what stands where, and what was expected. `docs/operations.md` says what to do.
 #[derive(Debug, thiserror::Error)]
-pub enum Problem {
+pub enum ConfigError {
     /// It is no JSON, or a key is missing or of another kind.
     #[error("{what} at line {line} column {column}{}", expected(what))]
     Form {
@@ -52,7 +52,7 @@
     },
     /// The same within `settings`; the place is that in the whole file.
     #[error("bad settings: {0}")]
-    InSettings(Box<Problem>),
+    InSettings(Box<ConfigError>),
     /// The settings in it, or its zones.
     #[error(transparent)]
     Settings(#[from] settings::Problem),
@@ -92,7 +92,7 @@
     #[error("Permissions.AttemptsCap = 0: attempts are not over 0; expected 1 or more")]
     NoAttempts,
     /// The node could not hold a client and a backend at once.
-    #[error("limits.sockets = {0}: too few sockets; expected {least} or more", least = SPARE_SOCKETS + LEAST)]
+    #[error("limits.sockets = {0}: too few sockets; expected {least} or more", least = RESERVED_SOCKETS + LEAST)]
     Sockets(usize),
     /// The part of a ring that is held is too small to choose from, or too large for what it is for: give another.
     #[error("subset.servers = {0}: expected {LEAST_SUBSET} to {MOST_SUBSET}")]
@@ -112,11 +112,11 @@
     #[error("fleet: the peer {0}: expected an IPv4 address, as fleet.advertise is one")]
     Peer(SocketAddr),
     /// More peers than membership is built for.
-    #[error("fleet: {0} peers: expected {MOST_PEERS} at most")]
+    #[error("fleet: {0} peers: expected {MAX_PEERS} at most")]
     ManyPeers(usize),
     /// This node, or another, has no address.
     #[error(
-        "fleet: {count} peers: expected an address for each node up to this one's number, {node}, and {MOST_PEERS} at most"
+        "fleet: {count} peers: expected an address for each node up to this one's number, {node}, and {MAX_PEERS} at most"
     )]
     FewPeers {
         /// How many addresses there are.
@@ -140,7 +140,7 @@
     RegistryMode,
 }
 
-impl Problem {
+impl ConfigError {
     /// What is wrong with the names below a key. Of many names the first ones are told, and how many there are.
     pub(super) fn name(key: &'static str, names: &Names, problem: NameProblem) -> Self {
         let shown: Vec<_> = names.iter().take(NAMES_SHOWN).collect();
@@ -152,7 +152,7 @@
                 format!("{:?} at {first} and {second}", names.get(second).unwrap_or_default())
             }
         };
-        Problem::Name { key, names: format!("{shown:?}{rest}"), which }
+        ConfigError::Name { key, names: format!("{shown:?}{rest}"), which }
     }
 
     /// What the parser says of a text that begins at `start` of the file.
@@ -162,7 +162,7 @@
             if error.line() > 1 { 0 } else { before.len() - before.rfind('\n').map_or(0, |at| at + 1) };
         let (text, place) =
             (error.to_string(), format!(" at line {} column {}", error.line(), error.column()));
-        Problem::Form {
+        ConfigError::Form {
             line: before.matches('\n').count() + error.line(),
             column: on_line + error.column(),
             what: text.strip_suffix(&place).unwrap_or(&text).to_owned(),
--- a/src/control/config/shape.rs
+++ b/src/control/config/key_shape.rs
@@ -1,7 +1,7 @@
 //! Which keys a configuration has, without its values: so much is kept of the running one, since a file that lacks some
 //! of them looks written or copied by halves.
 
-use super::Problem;
+use super::ConfigError;
 use serde::de::{MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use std::collections::{BTreeMap, HashMap};
@@ -60,12 +60,12 @@
 
 /// The first key of the running configuration that a new one is short of: that is how a file looks which was
 /// written or copied by halves. Elements of an array, like the classes, need what all of them had.
-pub(super) fn lacks(running: &Shape, new: &Shape, path: &str) -> Option<Problem> {
+pub(super) fn lacks(running: &Shape, new: &Shape, path: &str) -> Option<ConfigError> {
     match (running, new) {
         (Shape::Object(running), Shape::Object(new)) => running.iter().find_map(|(key, value)| {
             let path = format!("{path}/{key}");
             match new.get(key) {
-                None | Some(Shape::Null) if *value != Shape::Null => Some(Problem::Missing(path)),
+                None | Some(Shape::Null) if *value != Shape::Null => Some(ConfigError::Missing(path)),
                 Some(new) => lacks(value, new, &path),
                 None => None,
             }
@@ -74,7 +74,7 @@
             let common = common(running)?;
             new.iter().find_map(|(place, new)| lacks(&common, new, &format!("{path}/{place}")))
         }
-        (Shape::Object(_) | Shape::Array(_), _) => Some(Problem::OtherKind(path.into())),
+        (Shape::Object(_) | Shape::Array(_), _) => Some(ConfigError::OtherKind(path.into())),
         _ => None,
     }
 }
--- a/src/control/config/tests.rs
+++ b/src/control/config/tests.rs
@@ -13,7 +13,7 @@
     "Classes": [{"Name": "read", "Target": 1, "GiveUp": 2, "Idempotency": "free", "Credit": 1},
                 {"Name": "submit", "Target": 1, "GiveUp": 2, "Idempotency": "guarded", "Credit": 1, "Window": 9}]}}"#;
 
-fn replaced(by: &str) -> Result<Arc<Site>, Problem> {
+fn replaced(by: &str) -> Result<Arc<Site>, ConfigError> {
     let mut new = Config::parse(by)?;
     new.replaces(&Config::parse(RUNNING).expect("good")).map(|()| new.site)
 }
@@ -109,7 +109,7 @@
     for (old, new, expected) in cases {
         assert!(RUNNING.contains(old), "{old}");
         let problem = replaced(&RUNNING.replacen(old, new, 1)).expect_err(new);
-        let why = NoConfig::Bad { path: "n0.json".into(), problem }.to_string();
+        let why = ConfigFileError::Bad { path: "n0.json".into(), problem }.to_string();
         assert!(why.starts_with("bad configuration: n0.json: ") && why.contains(expected), "{new}: {why}");
         assert!(!why.contains('\n'), "on one line: {why:?}");
     }
@@ -161,7 +161,7 @@
 #[test]
 fn of_many_entries_no_more_keys_are_kept_than_of_few() {
     let shape = |text: &str| {
-        let mut config = Config::parse(text).expect("good").without_known();
+        let mut config = Config::parse(text).expect("good").without_known_list();
         config.shape.fold();
         config.shape
     };
@@ -180,7 +180,7 @@
             sorted.into_iter().find_map(|(key, value)| {
                 let path = format!("{path}/{key}");
                 match new.get(key) {
-                    None | Some(Value::Null) if !value.is_null() => Some(Problem::Missing(path).to_string()),
+                    None | Some(Value::Null) if !value.is_null() => Some(ConfigError::Missing(path).to_string()),
                     Some(new) => lacks_by_values(value, new, &path),
                     None => None,
                 }
@@ -196,7 +196,7 @@
             });
             new.iter().enumerate().find_map(|(i, new)| lacks_by_values(&common, new, &format!("{path}/{i}")))
         }
-        (Value::Object(_) | Value::Array(_), _) => Some(Problem::OtherKind(path.into()).to_string()),
+        (Value::Object(_) | Value::Array(_), _) => Some(ConfigError::OtherKind(path.into()).to_string()),
         _ => None,
     }
 }
@@ -246,7 +246,7 @@
         Config::parse(&text).map(|config| config.fleet.map_or(0, |fleet| fleet.peers.len()))
     };
     assert_eq!(peers(4_900).expect("the planned size"), 4_900);
-    assert_eq!(peers(MOST_PEERS).expect("the bound"), 9_800);
-    let problem = peers(MOST_PEERS + 1).expect_err("too many").to_string();
+    assert_eq!(peers(MAX_PEERS).expect("the bound"), 9_800);
+    let problem = peers(MAX_PEERS + 1).expect_err("too many").to_string();
     assert!(problem.contains("9801 peers") && problem.contains("9800 at most"), "{problem}");
 }
--- a/src/control/discovery/taking.rs
+++ b/src/control/discovery/apply.rs
@@ -1,10 +1,10 @@
 //! Taking in a list: reading it, judging whether it is news, and passing it on to the node, a long one in slices.
 
-use super::lines::{ListValue, SHORT_LIMIT};
-use super::long::{End, LongList, LongReader};
-use super::problem::BadWatch;
-use super::slices::{AT_ONCE, Older, Slices};
-use super::{Dial, Discovery};
+use super::framing::{ListValue, SHORT_LIMIT};
+use super::incremental::{End, LongList, LongReader};
+use super::error::BadWatch;
+use super::chunks::{AT_ONCE, Older, Slices};
+use super::{Dial, DiscoveryClient};
 use crate::control::log::log;
 use crate::control::updates::{Backend, ListUpdate};
 use crate::{ListKind, ServerId, ServerState};
@@ -26,7 +26,7 @@
     endpoints: Vec<Value>,
 }
 
-impl<M: From<ListUpdate>, D: Dial> Discovery<M, D> {
+impl<M: From<ListUpdate>, D: Dial> DiscoveryClient<M, D> {
     /// Takes in what a watch has told.
     pub(super) async fn take_value(&mut self, value: Result<ListValue, String>) -> Result<Taken, BadWatch> {
         match value {
--- a/src/control/discovery/entry.rs
+++ b/src/control/discovery/entry.rs
@@ -1,6 +1,6 @@
 //! One entry of a server list: from its JSON to the compact [`Backend`].
 
-use crate::control::config::Current;
+use crate::control::config::LiveSettings;
 use crate::control::updates::Backend;
 use crate::settings::millis;
 use crate::{ServerEntry, ServerId, ServerState};
@@ -60,12 +60,12 @@
 /// Reads entries by the settings in force.
 #[derive(Clone)]
 pub struct EntryReader {
-    current: Current,
+    current: LiveSettings,
 }
 
 impl EntryReader {
     /// Zones and kinds are those of `current`.
-    pub fn new(current: Current) -> Self {
+    pub fn new(current: LiveSettings) -> Self {
         EntryReader { current }
     }
 
--- a/src/control/discovery/lines.rs
+++ b/src/control/discovery/framing.rs
@@ -6,8 +6,8 @@
 //! the watch is given up.
 
 use super::entry::{EntryReader, Whole};
-use super::long::{End, LongList, LongReader};
-use super::problem::BadWatch;
+use super::incremental::{End, LongList, LongReader};
+use super::error::BadWatch;
 use bytes::{Buf, Bytes, BytesMut};
 use serde_json::Deserializer;
 use serde_json::value::RawValue;
--- a/src/control/discovery/long.rs
+++ b/src/control/discovery/incremental.rs
@@ -3,7 +3,7 @@
 //! that at the end. Here braces and quotes are counted, and nothing is read.
 
 use super::entry::{BadEntry, EntryReader, Whole};
-use super::problem::BadWatch;
+use super::error::BadWatch;
 use crate::ServerId;
 use crate::control::updates::Backend;
 use serde::Deserialize;
--- a/src/control/discovery/mod.rs
+++ b/src/control/discovery/mod.rs
@@ -1,20 +1,20 @@
-//! Discovery: the list of backends, the watch that keeps it fresh, and the backends' numbers. `lines` finds the values of
-//! a watch, `long` takes in those too long to be kept, `entry` reads an entry, `silence` says when a watch is broken,
-//! `versions` which lists are news, `slices` passes on long ones; docs/discovery.md says why so.
+//! Discovery: the list of backends, the watch that keeps it fresh, and the backends' numbers. `framing` finds the values of
+//! a watch, `incremental` takes in those too long to be kept, `entry` reads an entry, `timeouts` says when a watch is broken,
+//! `versions` which lists are news, `chunks` passes on long ones; docs/discovery.md says why so.
 
 mod entry;
-mod lines;
-mod long;
-mod problem;
-mod silence;
-mod slices;
-mod taking;
+mod framing;
+mod incremental;
+mod error;
+mod timeouts;
+mod chunks;
+mod apply;
 #[cfg(test)]
 mod tests;
 mod versions;
 
 use crate::ListKind;
-use crate::control::config::{Config, Current};
+use crate::control::config::{Config, LiveSettings};
 use crate::control::log::log;
 use crate::control::tcp;
 use crate::control::updates::{DiscoveryCommand, ListUpdate};
@@ -26,13 +26,13 @@
 use hyper::header::HOST;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use lines::{Lines, ListValue, SHORT_LIMIT};
-use long::LongReader;
-use problem::BadWatch;
+use framing::{Lines, ListValue, SHORT_LIMIT};
+use incremental::LongReader;
+use error::BadWatch;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use silence::{FIRST_PAUSE, LASTED, OVERLONG_PAUSE, SILENCE};
-use slices::Slices;
+use timeouts::{FIRST_PAUSE, LASTED, OVERLONG_PAUSE, SILENCE};
+use chunks::Slices;
 use std::cell::Cell;
 use std::future::{Future, pending, poll_fn};
 use std::io;
@@ -41,7 +41,7 @@
 use std::rc::Rc;
 use std::task::Poll;
 use std::time::Duration;
-use taking::{PIECE, Taken, read_long};
+use apply::{PIECE, Taken, read_long};
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
@@ -72,11 +72,11 @@
 }
 
 /// The discovery client of one node. It sends [`ListUpdate`]s, as messages `M` of its owner.
-pub struct Discovery<M, D = Tcp> {
+pub struct DiscoveryClient<M, D = Tcp> {
     dial: D,
     /// Where discovery is now; it may move.
     address: watch::Receiver<SocketAddr>,
-    current: Current,
+    current: LiveSettings,
     messages: mpsc::Sender<M>,
     known: Option<String>,
     entries: EntryReader,
@@ -93,34 +93,34 @@
     broken: String,
 }
 
-impl<M: From<ListUpdate>> Discovery<M> {
+impl<M: From<ListUpdate>> DiscoveryClient<M> {
     /// Reached by TCP at `address`, which may change; lists go to `messages`.
     pub fn new(
         config: &Config,
-        current: Current,
+        current: LiveSettings,
         address: watch::Receiver<SocketAddr>,
         messages: mpsc::Sender<M>,
     ) -> Self {
-        Discovery::with(Tcp, config, current, address, messages)
+        DiscoveryClient::with(Tcp, config, current, address, messages)
     }
 }
 
-impl<M: From<ListUpdate>, D: Dial> Discovery<M, D> {
+impl<M: From<ListUpdate>, D: Dial> DiscoveryClient<M, D> {
     fn with(
         dial: D,
         config: &Config,
-        current: Current,
+        current: LiveSettings,
         address: watch::Receiver<SocketAddr>,
         messages: mpsc::Sender<M>,
     ) -> Self {
-        Discovery {
+        DiscoveryClient {
             dial,
             address,
             entries: EntryReader::new(current.clone()),
-            most: config.longest_list,
+            most: config.max_listed_servers,
             current,
             messages,
-            known: config.known.clone(),
+            known: config.known_list.clone(),
             random: Pcg32::seed_from_u64(!config.seed),
             ready: Rc::default(),
             versions: Versions::default(),
@@ -183,7 +183,7 @@
                 }
                 Event::Passed(None) => State::Open,
                 Event::Passed(Some(broken)) => {
-                    let longest = silence::longest_pause(self.grace(), asked);
+                    let longest = timeouts::longest_pause(self.grace(), asked);
                     let lasted = begun.elapsed() > LASTED;
                     pause = if lasted { FIRST_PAUSE } else { (pause * 2).min(longest) };
                     self.complain("the watch broke", broken);
@@ -344,7 +344,7 @@
                 status => Err(format!("answered {status}")),
             }
         };
-        by(Instant::now() + silence::call(self.grace()), call).await.ok_or("silent")?
+        by(Instant::now() + timeouts::call(self.grace()), call).await.ok_or("silent")?
     }
 }
 
--- a/src/control/discovery/tests.rs
+++ b/src/control/discovery/tests.rs
@@ -2,9 +2,9 @@
 
 mod long_lists;
 
-use super::lines::{Lines, ListValue};
-use super::problem::BadWatch;
-use super::taking::List;
+use super::framing::{Lines, ListValue};
+use super::error::BadWatch;
+use super::apply::List;
 use super::*;
 use crate::ServerState;
 use serde_json::Value;
@@ -105,8 +105,8 @@
         let (moved, address) = watch::channel(config.discovery);
         let (down, refused, begun) = (Rc::new(Cell::new(down)), Rc::default(), Instant::now());
         let agent = Agent { calls: calls_in, down: down.clone(), begun, refused: Rc::clone(&refused) };
-        let current = Current::new(config.site.clone());
-        let discovery = Discovery::with(agent, &config, current, address, messages);
+        let current = LiveSettings::new(config.site.clone());
+        let discovery = DiscoveryClient::with(agent, &config, current, address, messages);
         spawn_local(discovery.run(obeyed));
         Rig { calls, news, orders, moved, down, refused, begun }
     }
@@ -595,7 +595,7 @@
 
 /// Nothing yet; a list may hold 2,000 servers.
 fn new_lines() -> Lines {
-    Lines::new(EntryReader::new(Current::new(config("", GRACE).site)), 2_000)
+    Lines::new(EntryReader::new(LiveSettings::new(config("", GRACE).site)), 2_000)
 }
 
 /// How many values came of a piece, and whether it was a word.
--- a/src/control/discovery/tests/long_lists.rs
+++ b/src/control/discovery/tests/long_lists.rs
@@ -1,15 +1,15 @@
 //! Lists too long to be kept as text, and how they are passed on.
 
 use super::*;
-use crate::control::discovery::long::LongList;
-use crate::control::discovery::slices::SLICE;
+use crate::control::discovery::incremental::LongList;
+use crate::control::discovery::chunks::SLICE;
 use std::collections::BTreeSet;
 
 /// Over the length of a short list, in any form.
 const MANY: usize = 4_000;
 
 fn long_lines(most: usize) -> Lines {
-    Lines::new(EntryReader::new(Current::new(config("", GRACE).site)), most)
+    Lines::new(EntryReader::new(LiveSettings::new(config("", GRACE).site)), most)
 }
 
 /// All lists that come of these pieces, and how many were dropped.
@@ -81,7 +81,7 @@
 /// Entry for entry the same, whether a list is short or long.
 #[test]
 fn a_long_list_says_what_the_same_short_one_says() {
-    let reader = EntryReader::new(Current::new(config("", GRACE).site));
+    let reader = EntryReader::new(LiveSettings::new(config("", GRACE).site));
     let mut entries = entries(MANY, "in_service");
     entries[1] = entries[1].replace("\"weight\":1.0,", "");
     entries[2] = entries[2].replace("\"zone\":\"a\",", "\"zone\":\"a\",\"zone\":\"a\",");
@@ -154,9 +154,9 @@
 #[test]
 fn neither_the_text_nor_a_tree_of_a_long_list_is_kept() {
     let config = config("", GRACE);
-    assert_eq!(config.longest_list, 192 * 1_024 / 2, "half of the memory, a kibibyte each");
-    let mut lines = long_lines(config.longest_list);
-    let text = list(41, true, &entries(config.longest_list, "in_service"));
+    assert_eq!(config.max_listed_servers, 192 * 1_024 / 2, "half of the memory, a kibibyte each");
+    let mut lines = long_lines(config.max_listed_servers);
+    let text = list(41, true, &entries(config.max_listed_servers, "in_service"));
     assert!(text.len() > 12 << 20);
     let pieces = text.as_bytes().chunks(16 << 10);
     let longest = pieces.map(|piece| (lines.feed(piece).expect("it fits"), lines.kept()).1).max();
@@ -267,7 +267,7 @@
 fn a_long_list_that_was_known_is_replaced() {
     played(async || {
         let mut config = config("", GRACE);
-        config.known = Some(list(8, true, &entries(MANY, "in_service")));
+        config.known_list = Some(list(8, true, &entries(MANY, "in_service")));
         let (mut rig, mut known) = (Rig::of(config, false), BTreeSet::new());
         let news = rig.news().await;
         assert_eq!((news.kind, news.backends.len()), (ListKind::Cached, MANY));
@@ -283,7 +283,7 @@
 fn a_list_that_is_too_long_is_not_asked_for_again_at_once() {
     played(async || {
         let mut config = config("", GRACE);
-        config.longest_list = MANY;
+        config.max_listed_servers = MANY;
         let mut rig = Rig::of(config, false);
         let mut call = rig.call().await;
         call.open().await;
--- a/src/control/discovery/versions.rs
+++ b/src/control/discovery/versions.rs
@@ -27,7 +27,7 @@
     pub index: u64,
     /// The version that an agent has told this process. What is known from before binds nobody: any list replaces it.
     told: Option<u64>,
-    /// The listed backends. 40 bytes each, and no more than [`Config::longest_list`](crate::control::config::Config) of
+    /// The listed backends. 40 bytes each, and no more than [`Config::max_listed_servers`](crate::control::config::Config) of
     /// them come in one list.
     lives: BTreeMap<ServerId, Life>,
     /// Since when all that came was older.
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -1,22 +1,22 @@
 //! A node's part in membership: datagrams and times in and out of its core, the log of who comes and goes, and what the
-//! node's owner is told of the fleet. It decides nothing: the core in `hillpick_fleet` does, and [`view`] shows what that
+//! node's owner is told of the fleet. It decides nothing: the core in `hillpick_fleet` does, and [`membership_view`] shows what that
 //! knows.
 
 mod addresses;
-mod saved;
+mod saved_members;
 #[cfg(test)]
 mod tests;
-pub mod view;
+pub mod membership_view;
 
 use crate::Tier;
-use crate::control::config::{Config, Fleet, MOST_PEERS};
+use crate::control::config::{Config, FleetConfig, MAX_PEERS};
 use crate::control::log::log;
-use crate::control::process::{Siblings, State};
+use crate::control::process::{Siblings, ProcessState};
 use addresses::PeerAddresses;
 use hillpick_fleet::{Address, BadName, Certainty, DATAGRAM, Identity, Membership, Name, Output, Settings};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use saved::SavedMembers;
+use saved_members::SavedMembers;
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
-use view::View;
+use membership_view::MembershipView;
 
 /// The predecessor in an upgrade holds the address until it goes: it is asked for so often.
 const BIND_PAUSE: Duration = Duration::from_millis(50);
@@ -39,7 +39,7 @@
 
 /// Why a node can take no part in membership.
 #[derive(Debug, thiserror::Error)]
-pub enum PeersError {
+pub enum MembershipError {
     /// The name does not fit into a datagram.
     #[error(
         "no membership under the name {name:?}: {source}; give the node another name in its configuration"
@@ -67,8 +67,8 @@
 
 /// Takes part in membership for as long as the process runs. Its owner hears of the fleet by messages of its own kind,
 /// `M`.
-pub struct Peers<M> {
-    fleet: Fleet,
+pub struct MembershipDriver<M> {
+    fleet: FleetConfig,
     addresses: PeerAddresses,
     name: Name,
     /// The address by which the others know it; the port may be open until the socket is bound.
@@ -76,9 +76,9 @@
     nodes: u32,
     zone: u8,
     random: Pcg32,
-    view: View,
+    view: MembershipView,
     messages: mpsc::Sender<M>,
-    process: watch::Receiver<State>,
+    process: watch::Receiver<ProcessState>,
     siblings: Rc<dyn Siblings>,
     told: Option<Tier>,
     /// The port on which it hears.
@@ -86,7 +86,7 @@
     saved: SavedMembers,
 }
 
-impl<M: From<Tier>> Peers<M> {
+impl<M: From<Tier>> MembershipDriver<M> {
     /// As the configuration says; `None` where it says nothing of it. `process` is how this process stands, and
     /// `siblings` which others of the same node there are.
     ///
@@ -94,23 +94,23 @@
     /// If the node's name or number does not fit into a datagram.
     pub fn new(
         config: &Config,
-        view: View,
+        view: MembershipView,
         messages: mpsc::Sender<M>,
-        process: watch::Receiver<State>,
+        process: watch::Receiver<ProcessState>,
         siblings: Rc<dyn Siblings>,
-    ) -> Result<Option<Self>, PeersError> {
+    ) -> Result<Option<Self>, MembershipError> {
         let Some(fleet) = config.fleet.clone() else { return Ok(None) };
         let settings = &config.site.settings;
         let name = Name::try_from(config.name.as_str())
-            .map_err(|source| PeersError::Name { name: config.name.clone(), source })?;
+            .map_err(|source| MembershipError::Name { name: config.name.clone(), source })?;
         let advertised = match fleet.advertise {
             Some(address) => Address::Socket(address),
             None => {
-                let number = u16::try_from(settings.node).map_err(|_| PeersError::Number(settings.node))?;
+                let number = u16::try_from(settings.node).map_err(|_| MembershipError::Number(settings.node))?;
                 Address::Node(number)
             }
         };
-        Ok(Some(Peers {
+        Ok(Some(MembershipDriver {
             addresses: PeerAddresses::new(fleet.peers.clone()),
             saved: SavedMembers::new(fleet.saved.clone()),
             name,
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// If the address can't be had.
-    pub async fn bind(&self) -> Result<Option<UdpSocket>, PeersError> {
+    pub async fn bind(&self) -> Result<Option<UdpSocket>, MembershipError> {
         match UdpSocket::bind(self.fleet.listen).await {
             Ok(socket) => {
                 let address = socket.local_addr().unwrap_or(self.fleet.listen);
@@ -140,7 +140,7 @@
                 Ok(Some(socket))
             }
             Err(e) if e.kind() == io::ErrorKind::AddrInUse && self.siblings.has_predecessor() => Ok(None),
-            Err(source) => Err(PeersError::Bind { listen: self.fleet.listen, source }),
+            Err(source) => Err(MembershipError::Bind { listen: self.fleet.listen, source }),
         }
     }
 
@@ -161,10 +161,10 @@
         self.saved.load();
         let mut process = self.process.clone();
         loop {
-            match process.wait_for(|state| *state != State::Standby).await.map(|state| *state) {
-                Ok(State::Active) => {}
+            match process.wait_for(|state| *state != ProcessState::Standby).await.map(|state| *state) {
+                Ok(ProcessState::Active) => {}
                 // Nothing follows termination.
-                Ok(State::Terminating | State::Standby) | Err(_) => return,
+                Ok(ProcessState::Terminating | ProcessState::Standby) | Err(_) => return,
             }
             self.start();
             self.take_part(&socket, &mut process).await;
@@ -196,9 +196,9 @@
         let settings = Settings {
             cluster: self.fleet.cluster.clone(),
             fleet_size: self.nodes as usize,
-            period: self.fleet.period,
-            patience: self.fleet.period.mul_f64(PATIENCE),
-            max_members: MOST_PEERS,
+            period: self.fleet.probe_period,
+            patience: self.fleet.probe_period.mul_f64(PATIENCE),
+            max_members: MAX_PEERS,
             local_health: true,
         };
         let saved = self.saved.saved.members.iter().map(|(_, address)| *address);
@@ -208,7 +208,7 @@
         *self.view.0.borrow_mut() = Some((core, Instant::now()));
     }
 
-    async fn take_part(&mut self, socket: &UdpSocket, process: &mut watch::Receiver<State>) {
+    async fn take_part(&mut self, socket: &UdpSocket, process: &mut watch::Receiver<ProcessState>) {
         let mut data = [0; DATAGRAM + 1];
         let mut tell_at = Instant::now() + TELL_EVERY;
         let mut save_at = Instant::now() + SAVE_EVERY;
@@ -216,7 +216,7 @@
             let wake = self.wake_at().map_or(tell_at, |at| at.min(tell_at));
             tokio::select! {
                 biased;
-                _ = process.wait_for(|state| *state != State::Active) => return,
+                _ = process.wait_for(|state| *state != ProcessState::Active) => return,
                 // Timers come before datagrams: a flood of these must not keep the node from probing.
                 () = sleep_until(wake) => {
                     let mut out = Vec::new();
--- a/src/control/peers/view.rs
+++ b/src/control/peers/membership_view.rs
@@ -9,11 +9,11 @@
 
 /// What the node knows of the others: shared with the operators' calls, which only look.
 #[derive(Clone, Default)]
-pub struct View(pub(super) Rc<RefCell<Option<(Membership, Instant)>>>);
+pub struct MembershipView(pub(super) Rc<RefCell<Option<(Membership, Instant)>>>);
 
-impl View {
+impl MembershipView {
     /// All of it, as JSON; `None` where there is no membership.
-    pub fn tell(&self) -> Option<Value> {
+    pub fn to_json(&self) -> Option<Value> {
         let mut view = self.0.borrow_mut();
         let (core, begun) = view.as_mut()?;
         let now = begun.elapsed();
--- a/src/control/peers/saved.rs
+++ b/src/control/peers/saved_members.rs
@@ -1,6 +1,6 @@
 //! The members that a node keeps on disk, so that a start finds them again.
 
-use crate::control::config::MOST_PEERS;
+use crate::control::config::MAX_PEERS;
 use crate::control::log::log;
 use crate::control::saved_file;
 use hillpick_fleet::{Address, Membership, Name};
@@ -43,7 +43,7 @@
                     kept.age.map_or("of an unknown age".into(), |age| format!("{} s old", age.as_secs()));
                 log(format_args!("{known} saved members, {age}, to be asked who lives"));
                 self.saved = kept.value;
-                self.saved.members.truncate(MOST_PEERS);
+                self.saved.members.truncate(MAX_PEERS);
             }
             Err(problem) => log(format_args!("no saved members from {}: {problem}", path.display())),
         }
--- a/src/control/peers/tests.rs
+++ b/src/control/peers/tests.rs
@@ -1,6 +1,6 @@
 //! Nodes that take part in membership without a program around them: several in one thread, over UDP.
 
-use super::saved::Saved;
+use super::saved_members::Saved;
 use super::*;
 use crate::control::process::NoSiblings;
 use std::hint::black_box;
@@ -9,7 +9,7 @@
 /// The owner's side of a node.
 struct Owner {
     told: mpsc::Receiver<Tier>,
-    state: watch::Sender<State>,
+    state: watch::Sender<ProcessState>,
 }
 
 /// A configuration of one node among three, known by addresses that all see alike.
@@ -32,9 +32,9 @@
 /// Starts a node, and says where it hears.
 async fn start(node: usize, peers: &[SocketAddr]) -> (Owner, SocketAddr) {
     let (messages, told) = mpsc::channel(64);
-    let (state, process) = watch::channel(State::Active);
+    let (state, process) = watch::channel(ProcessState::Active);
     let config = config(node, ANY.parse().expect("an address"), peers, ADVERTISED);
-    let peers = Peers::new(&config, View::default(), messages, process, Rc::new(NoSiblings));
+    let peers = MembershipDriver::new(&config, MembershipView::default(), messages, process, Rc::new(NoSiblings));
     let peers = peers.expect("a good configuration").expect("a fleet");
     let socket = peers.bind().await.expect("an address").expect("no predecessor");
     let hears = socket.local_addr().expect("an address");
@@ -65,12 +65,12 @@
         for owner in [&mut first, &mut second, &mut third] {
             owner.hears_of(3).await;
         }
-        second.state.send_replace(State::Standby);
+        second.state.send_replace(ProcessState::Standby);
         let alone = second.hears_of(1).await;
         assert_eq!((alone.rank, alone.agreed, alone.could_be_alive), (0, false, 3));
         first.hears_of(2).await;
         third.hears_of(2).await;
-        second.state.send_replace(State::Active);
+        second.state.send_replace(ProcessState::Active);
         for owner in [&mut first, &mut second, &mut third] {
             owner.hears_of(3).await;
         }
@@ -85,9 +85,9 @@
         let other = UdpSocket::bind(ANY).await.expect("a socket");
         let taken = other.local_addr().expect("an address");
         let (messages, _told) = mpsc::channel::<Tier>(1);
-        let (_state, process) = watch::channel(State::Active);
+        let (_state, process) = watch::channel(ProcessState::Active);
         let config = config(0, taken, &[], ADVERTISED);
-        let peers = Peers::new(&config, View::default(), messages, process, Rc::new(NoSiblings));
+        let peers = MembershipDriver::new(&config, MembershipView::default(), messages, process, Rc::new(NoSiblings));
         let problem = peers.expect("good").expect("a fleet").bind().await.expect_err("taken");
         let text = problem.to_string();
         assert!(text.contains(&taken.to_string()) && text.contains("change peer_listen"), "{text}");
--- a/src/control/process.rs
+++ b/src/control/process.rs
@@ -2,7 +2,7 @@
 
 /// How a process stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ProcessState {
     /// It serves.
     Active,
     /// It drains, and may be called back.
--- a/src/control/saved_file.rs
+++ b/src/control/saved_file.rs
@@ -16,7 +16,7 @@
 
 /// Why there is nothing to begin with.
 #[derive(Debug)]
-pub enum Problem {
+pub enum SavedFileError {
     /// The file can't be read or written.
     Io(io::Error),
     /// It is no such file, or cut off, or changed.
@@ -25,19 +25,19 @@
     Content(serde_json::Error),
 }
 
-impl std::fmt::Display for Problem {
+impl std::fmt::Display for SavedFileError {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Problem::Io(e) => write!(out, "{e}"),
-            Problem::Broken(what) => write!(out, "{what}; remove the file to do without it"),
-            Problem::Content(e) => write!(out, "its content is not what was expected: {e}"),
+            SavedFileError::Io(e) => write!(out, "{e}"),
+            SavedFileError::Broken(what) => write!(out, "{what}; remove the file to do without it"),
+            SavedFileError::Content(e) => write!(out, "its content is not what was expected: {e}"),
         }
     }
 }
 
 /// A value from an earlier life, and how old it is; `None` if the clock has been set back since it was written.
 #[derive(Debug, PartialEq)]
-pub struct Kept<T> {
+pub struct SavedValue<T> {
     /// The value.
     pub value: T,
     /// Its age.
@@ -49,30 +49,30 @@
 }
 
 /// What an earlier life has left in this file; `None` if there is no file.
-pub fn load<T: DeserializeOwned>(path: &Path) -> Result<Option<Kept<T>>, Problem> {
+pub fn load<T: DeserializeOwned>(path: &Path) -> Result<Option<SavedValue<T>>, SavedFileError> {
     let file = match File::open(path) {
         Ok(file) => file,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(e) => return Err(Problem::Io(e)),
+        Err(e) => return Err(SavedFileError::Io(e)),
     };
     let mut data = Vec::new();
-    file.take(LONGEST + 1).read_to_end(&mut data).map_err(Problem::Io)?;
+    file.take(LONGEST + 1).read_to_end(&mut data).map_err(SavedFileError::Io)?;
     if data.len() as u64 > LONGEST {
-        return Err(Problem::Broken("it is longer than any such file"));
+        return Err(SavedFileError::Broken("it is longer than any such file"));
     }
-    let text = std::str::from_utf8(&data).map_err(|_| Problem::Broken("it is no text"))?;
-    let (head, body) = text.split_once('\n').ok_or(Problem::Broken("it is cut off"))?;
-    let rest = head.strip_prefix(FORM).ok_or(Problem::Broken("it is no file of this kind"))?;
+    let text = std::str::from_utf8(&data).map_err(|_| SavedFileError::Broken("it is no text"))?;
+    let (head, body) = text.split_once('\n').ok_or(SavedFileError::Broken("it is cut off"))?;
+    let rest = head.strip_prefix(FORM).ok_or(SavedFileError::Broken("it is no file of this kind"))?;
     let mut words = rest.split_whitespace();
     let mut number = |radix| words.next().and_then(|word| u64::from_str_radix(word, radix).ok());
     let (Some(sum), Some(written)) = (number(16), number(10)) else {
-        return Err(Problem::Broken("its first line is not whole"));
+        return Err(SavedFileError::Broken("its first line is not whole"));
     };
     if sum != u64::from(crc32fast::hash(body.as_bytes())) {
-        return Err(Problem::Broken("its checksum does not fit: it is cut off or changed"));
+        return Err(SavedFileError::Broken("its checksum does not fit: it is cut off or changed"));
     }
-    let value = serde_json::from_str(body).map_err(Problem::Content)?;
-    Ok(Some(Kept { value, age: unix_ms().checked_sub(written).map(Duration::from_millis) }))
+    let value = serde_json::from_str(body).map_err(SavedFileError::Content)?;
+    Ok(Some(SavedValue { value, age: unix_ms().checked_sub(written).map(Duration::from_millis) }))
 }
 
 /// Replaces the file. Whatever fails or whenever the power goes, the file is whole, as before or as now.
@@ -110,17 +110,17 @@
         // Whatever is missing at the end, and whichever byte of the content is another, is found.
         for length in 0..whole.len() {
             fs::write(&path, &whole[..length]).unwrap();
-            assert!(matches!(load::<Vec<u32>>(&path), Err(Problem::Broken(_))), "{length}");
+            assert!(matches!(load::<Vec<u32>>(&path), Err(SavedFileError::Broken(_))), "{length}");
         }
         let line = whole.iter().position(|byte| *byte == b'\n').unwrap();
         for at in line + 1..whole.len() {
             let mut changed = whole.clone();
             changed[at] ^= 1;
             fs::write(&path, &changed).unwrap();
-            assert!(matches!(load::<Vec<u32>>(&path), Err(Problem::Broken(_))), "{at}");
+            assert!(matches!(load::<Vec<u32>>(&path), Err(SavedFileError::Broken(_))), "{at}");
         }
         fs::write(&path, &whole).unwrap();
-        assert!(matches!(load::<Vec<String>>(&path), Err(Problem::Content(_))));
+        assert!(matches!(load::<Vec<String>>(&path), Err(SavedFileError::Content(_))));
         // Written in the future, as a clock that is set back has it.
         let text = String::from_utf8(whole).unwrap();
         let written = text.lines().next().unwrap().rsplit_once(' ').unwrap().1;
--- a/src/control/roster/mod.rs
+++ b/src/control/server_table/mod.rs
@@ -4,14 +4,14 @@
 //! connection pool are told of the subset alone. Which part of the list that is, `src/policy/subset.rs` decides. Servers
 //! that are not ready are kept only as far as they are held.
 
-mod listed;
+mod compact_server;
 mod ring;
 #[cfg(test)]
 mod tests;
 
 use crate::control::updates::{Backend, ListUpdate};
 use crate::{HeldRing, LEAST_SUBSET, ListKind, RingLayout, ServerId, ServerState};
-use listed::Listed;
+use compact_server::Listed;
 use ring::Ring;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,9 +26,9 @@
 /// All ready servers of the list, and which servers the node holds.
 ///
 /// It grows with the ready servers of the list, whose number is bounded by
-/// [`Config::longest_list`](crate::control::config::Config), at [`LISTED_BYTES`] each; what is held is bounded by the
+/// [`Config::max_listed_servers`](crate::control::config::Config), at [`LISTED_SERVER_BYTES`] each; what is held is bounded by the
 /// configured size of a part, for each zone, times the size of a cell where cells are held whole, and by those that drain.
-pub struct Roster {
+pub struct ServerTable {
     /// How many servers of each ring are held from the first in use on.
     servers: usize,
     layout: RingLayout,
@@ -45,15 +45,15 @@
 
 /// Bytes that a listed server takes at most: its place here and in the discovery client, and its part of a list that is
 /// being taken in, which is the most of it. Measured with `what_a_subset_costs` (`tests/subset_node/costs.rs`).
-pub const LISTED_BYTES: usize = 512;
+pub const LISTED_SERVER_BYTES: usize = 512;
 
 /// Of a cell no more are held than a choice compares.
 const MOST_OF_A_CELL: usize = LEAST_SUBSET / 2;
 
-impl Roster {
+impl ServerTable {
     /// An empty list, of whose rings so many servers are to be held.
     pub fn new(servers: usize, layout: RingLayout) -> Self {
-        Roster {
+        ServerTable {
             servers,
             layout,
             rings: BTreeMap::new(),
@@ -65,7 +65,7 @@
     }
 
     /// Takes in news of the list.
-    pub fn take(&mut self, news: ListUpdate, layout: RingLayout) -> SubsetUpdate {
+    pub fn apply(&mut self, news: ListUpdate, layout: RingLayout) -> SubsetUpdate {
         let ListUpdate { kind, backends } = news;
         if kind == ListKind::Failed {
             return SubsetUpdate { rings: self.held_rings(), update: ListUpdate { kind, backends } };
@@ -99,7 +99,7 @@
     }
 
     /// The rings are divided otherwise, or not: what that changes, if it changes anything.
-    pub fn move_to(&mut self, layout: RingLayout) -> Option<SubsetUpdate> {
+    pub fn set_layout(&mut self, layout: RingLayout) -> Option<SubsetUpdate> {
         if layout == self.layout {
             return None;
         }
@@ -113,12 +113,12 @@
     }
 
     /// How many ready servers are listed.
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.rings.values().map(Ring::len).sum()
     }
 
     /// How many servers are held, those that drain among them.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.held.len()
     }
 
--- a/src/control/roster/ring.rs
+++ b/src/control/server_table/ring.rs
@@ -1,6 +1,6 @@
 //! A ring of listed servers in the order of their positions: changed one by one, and read from any rank on.
 
-use super::listed::Listed;
+use super::compact_server::Listed;
 
 /// A server's position and what is listed of it.
 type Place = (u64, Listed);
--- a/src/control/roster/tests.rs
+++ b/src/control/server_table/tests.rs
@@ -59,9 +59,9 @@
     }
 }
 
-fn start(layout: RingLayout, servers: u64) -> (Roster, Told) {
-    let (mut roster, mut told) = (Roster::new(SERVERS, layout), Told::default());
-    told.take(roster.take(update(ListKind::Full, ready(0..servers)), layout));
+fn start(layout: RingLayout, servers: u64) -> (ServerTable, Told) {
+    let (mut roster, mut told) = (ServerTable::new(SERVERS, layout), Told::default());
+    told.take(roster.apply(update(ListKind::Full, ready(0..servers)), layout));
     (roster, told)
 }
 
@@ -100,7 +100,7 @@
             let number = if number % 2 == 0 { number * 7 } else { 10_000 + number };
             let news = update(ListKind::Changes, vec![backend(number, state, 0)]);
             // The server itself, and at each end one that enters or leaves.
-            assert!(told.take(roster.take(news, layout)) <= 3, "node {node}, server {number}");
+            assert!(told.take(roster.apply(news, layout)) <= 3, "node {node}, server {number}");
         }
     }
 }
@@ -111,10 +111,10 @@
     let (mut roster, mut told) = start(layout, 3_000);
     let zone = (0..3_000).filter(|number| number % 3 == 1);
     let gone = zone.map(|number| backend(number, ServerState::Gone, 0)).collect();
-    told.take(roster.take(update(ListKind::Changes, gone), layout));
+    told.take(roster.apply(update(ListKind::Changes, gone), layout));
     assert_eq!(told.0.len(), SERVERS + SERVERS / 8);
     assert!(told.0.values().all(|backend| backend.entry.zone != 1));
-    assert_eq!((roster.ready(), roster.held()), (2_000, told.0.len()));
+    assert_eq!((roster.ready_count(), roster.held_count()), (2_000, told.0.len()));
 }
 
 #[test]
@@ -122,21 +122,21 @@
     let plain = layout(2, 9);
     let (mut roster, mut told) = start(plain, 3_000);
     let by_zone = RingLayout { by_zone: true, ..plain };
-    let moved = roster.move_to(by_zone).expect("another layout");
+    let moved = roster.set_layout(by_zone).expect("another layout");
     assert_eq!(
         moved.rings.iter().map(|ring| (ring.zone, ring.ready)).collect::<Vec<_>>(),
         [(Some(0), 1_000), (Some(1), 1_000), (Some(2), 1_000)]
     );
     told.take(moved);
     assert_eq!(told.0.len(), 3 * (SERVERS + SERVERS / 8));
-    assert!(roster.move_to(by_zone).is_none());
+    assert!(roster.set_layout(by_zone).is_none());
     // A server that is listed in another zone than before stands on one ring alone.
     let mut other = backend(0, ServerState::Ready, 0);
     other.entry.zone = 1;
-    let news = roster.take(update(ListKind::Changes, vec![other]), by_zone);
+    let news = roster.apply(update(ListKind::Changes, vec![other]), by_zone);
     assert_eq!(news.rings.iter().map(|ring| ring.ready).collect::<Vec<_>>(), [999, 1_001, 1_000]);
     told.take(news);
-    told.take(roster.move_to(plain).expect("another layout"));
+    told.take(roster.set_layout(plain).expect("another layout"));
     assert_eq!(told.0.len(), SERVERS + SERVERS / 8);
 }
 
@@ -144,7 +144,7 @@
 fn a_failed_call_for_the_list_is_passed_on_as_it_is() {
     let layout = layout(0, 1);
     let (mut roster, _) = start(layout, 300);
-    let news = roster.take(update(ListKind::Failed, Vec::new()), layout);
+    let news = roster.apply(update(ListKind::Failed, Vec::new()), layout);
     assert_eq!((news.update.kind, news.update.backends.len()), (ListKind::Failed, 0));
     assert_eq!(news.rings[0].ready, 300);
 }
@@ -276,15 +276,15 @@
     #[test]
     fn a_node_holds_its_part_of_the_list_and_hears_of_every_drain(steps in prop::collection::vec(step(), 1..25)) {
         let mut layout = layout(0, 1);
-        let (mut roster, mut told, mut model) = (Roster::new(SERVERS, layout), Told::default(), Model::default());
+        let (mut roster, mut told, mut model) = (ServerTable::new(SERVERS, layout), Told::default(), Model::default());
         for step in &steps {
             let before = told.in_state(ServerState::Ready);
             if let &Step::Move { node, nodes, by_zone, whole_cells } = step {
                 layout = RingLayout { node, nodes, by_zone, whole_cells };
             }
             match model.news(step) {
-                Some(news) => drop(told.take(roster.take(news, layout))),
-                None => drop(roster.move_to(layout).map(|moved| told.take(moved))),
+                Some(news) => drop(told.take(roster.apply(news, layout))),
+                None => drop(roster.set_layout(layout).map(|moved| told.take(moved))),
             }
             prop_assert_eq!(&told.in_state(ServerState::Ready), &model.part(layout));
             for (id, held) in &told.0 {
@@ -296,7 +296,7 @@
                 let told = told.0.get(&id).map(|held| held.entry.state);
                 prop_assert!(!drains || told == Some(ServerState::Draining));
             }
-            prop_assert_eq!(roster.held(), told.0.len());
+            prop_assert_eq!(roster.held_count(), told.0.len());
         }
     }
 }
--- a/src/control/tcp.rs
+++ b/src/control/tcp.rs
@@ -10,11 +10,11 @@
 /// # Errors
 /// What the system says if none comes up.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    TcpStream::connect(address).await.map(undelayed)
+    TcpStream::connect(address).await.map(with_nodelay)
 }
 
 /// With `TCP_NODELAY`. A connection that has broken meanwhile says so when it is used.
-pub fn undelayed(stream: TcpStream) -> TcpStream {
+pub fn with_nodelay(stream: TcpStream) -> TcpStream {
     let _ = stream.set_nodelay(true);
     stream
 }
--- a/tests/lists/large.rs
+++ b/tests/lists/large.rs
@@ -64,7 +64,7 @@
 // ---- Measured -----------------------------------------------------------------------------------
 
 /// Processor time in seconds, and memory in MB, now and at its peak.
-pub fn cost(node: &Node) -> (f64, f64, f64) {
+pub fn resource_use(node: &Node) -> (f64, f64, f64) {
     let stat = node.system_file("stat");
     let fields: Vec<_> = stat.rsplit(") ").next().expect("fields").split(' ').collect();
     let ticks = |at: usize| fields[at].parse::<f64>().expect("a number");
@@ -77,7 +77,7 @@
 }
 
 /// How long requests take, in ms, while `meanwhile` goes on; eight clients with 100 a second in all.
-pub fn waits(node: &Node, meanwhile: impl FnOnce()) -> Vec<f64> {
+pub fn latencies_during(node: &Node, meanwhile: impl FnOnce()) -> Vec<f64> {
     let over = AtomicBool::new(false);
     let mut waits = scope(|threads| {
         let clients: Vec<_> = (0..8)
@@ -104,7 +104,7 @@
     waits
 }
 
-pub fn told_of(what: &str, waits: &[f64]) {
+pub fn print_latencies(what: &str, waits: &[f64]) {
     let at = |part: f64| waits[((waits.len() - 1) as f64 * part) as usize];
     println!(
         "  {what}: {} requests, ms at 50 %: {:.2}, 99 %: {:.2}, most: {:.2}",
@@ -141,13 +141,13 @@
     watch.try_to(|stream| chunk(stream, &format!("{line}\n")));
     while !node.is_ready() {
         if begun.elapsed() > Duration::from_secs(12) {
-            return println!("{count} servers: not ready in 12 s, processor {:.2} s", cost(&node).0);
+            return println!("{count} servers: not ready in 12 s, processor {:.2} s", resource_use(&node).0);
         }
         sleep(Duration::from_millis(2));
     }
-    let (ready, processor) = (begun.elapsed().as_secs_f64(), cost(&node).0);
+    let (ready, processor) = (begun.elapsed().as_secs_f64(), resource_use(&node).0);
     sleep(Duration::from_secs(1));
-    let (_, steady, peak) = cost(&node);
+    let (_, steady, peak) = resource_use(&node);
     println!(
         "{count} servers, {:.2} MB: ready after {ready:.3} s, processor {processor:.2} s, memory {steady:.1} MB, \
          peak {peak:.1} MB",
@@ -160,27 +160,27 @@
     let tell = |watch: &Watch, version| {
         watch.try_to(|stream| chunk(stream, &format!("{}\n", list(version, true, &all))));
     };
-    told_of("with nothing new", &waits(&node, || sleep(Duration::from_secs(4))));
+    print_latencies("with nothing new", &latencies_during(&node, || sleep(Duration::from_secs(4))));
     // As many lists one after the other as take some seconds.
     let rounds = (4 * SERVERS / count.max(1)).clamp(4, 40);
-    let before = cost(&node).0;
+    let before = resource_use(&node).0;
     let mut busy = Duration::ZERO;
-    let whole = waits(&node, || {
+    let whole = latencies_during(&node, || {
         let begun = Instant::now();
         (0..rounds).for_each(|i| tell(&watch, 9 + i as u64));
         busy = begun.elapsed();
     });
-    told_of("with whole lists without a pause", &whole);
-    let spent = (cost(&node).0 - before) / rounds as f64;
+    print_latencies("with whole lists without a pause", &whole);
+    let spent = (resource_use(&node).0 - before) / rounds as f64;
     println!("  {rounds} lists in {:.2} s, processor {spent:.3} s each", busy.as_secs_f64());
     let version = 9 + rounds as u64;
-    let apart = waits(&node, || {
+    let apart = latencies_during(&node, || {
         (0..8).for_each(|i| {
             tell(&watch, version + i);
             sleep(Duration::from_millis(500));
         });
     });
-    told_of("with a whole list each half a second", &apart);
-    let (_, steady, peak) = cost(&node);
+    print_latencies("with a whole list each half a second", &apart);
+    let (_, steady, peak) = resource_use(&node);
     println!("  after that: memory {steady:.1} MB, peak {peak:.1} MB");
 }
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use hillpick::control::roster::Roster;
+use hillpick::control::server_table::ServerTable;
 use hillpick::control::updates::{Backend, ListUpdate};
 use hillpick::*;
 use rand_pcg::Pcg32;
@@ -30,7 +30,7 @@
     now: Duration,
     all: Balancer,
     part: Balancer,
-    roster: Roster,
+    roster: ServerTable,
     due: Vec<(Duration, Due)>,
     attempts: std::collections::BTreeMap<RequestId, u32>,
     sends: usize,
@@ -43,7 +43,7 @@
         Pair {
             now: ms(100_000),
             all: Balancer::new(settings, 5),
-            roster: Roster::new(HELD, part.ring_layout()),
+            roster: ServerTable::new(HELD, part.ring_layout()),
             part,
             due: Vec::new(),
             attempts: Default::default(),
@@ -59,7 +59,7 @@
     fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         let address = SocketAddr::from(([127, 0, 0, 1], 80));
         let backends = entries.iter().map(|entry| Backend { entry: *entry, address }).collect();
-        let told = self.roster.take(ListUpdate { kind, backends }, self.part.ring_layout());
+        let told = self.roster.apply(ListUpdate { kind, backends }, self.part.ring_layout());
         let subset: Vec<_> = told.update.backends.iter().map(|backend| backend.entry).collect();
         let mut actions = Vec::new();
         self.part.handle(self.now, Event::Rings(told.rings), &mut actions);
@@ -185,7 +185,7 @@
             pair.list(ListKind::Full, entries.collect());
             pair.requests(600);
             assert!(pair.sends >= 500, "{}", pair.sends);
-            assert_eq!(pair.roster.held(), held_by(pair.part.ring_layout()));
+            assert_eq!(pair.roster.held_count(), held_by(pair.part.ring_layout()));
         }
     }
 }
@@ -212,16 +212,16 @@
     let mut settings = Settings { list_on_request: true, nodes: 10, ..settings() };
     settings.rules.ask_within = ms(4000);
     let (mut node, mut actions) = (Balancer::new(settings, 5), Vec::new());
-    let mut roster = Roster::new(HELD, node.ring_layout());
+    let mut roster = ServerTable::new(HELD, node.ring_layout());
     node.handle(ms(1000), Event::Timer { token: 1 }, &mut actions);
     let asked = |actions: &[Action]| actions.iter().any(|it| matches!(it, Action::Subscribe { on: true }));
     let list = ListUpdate { kind: ListKind::Failed, backends: Vec::new() };
-    roster.take(list, node.ring_layout());
+    roster.apply(list, node.ring_layout());
     node.handle(ms(1001), Event::List { kind: ListKind::Failed, entries: Vec::new() }, &mut actions);
     assert!(!asked(&actions));
     let tier = Tier { live: 9, rank: 3, agreed: true, could_be_alive: 9 };
     node.handle(ms(1002), Event::Tier(tier), &mut actions);
-    let moved = roster.move_to(node.ring_layout()).expect("another place");
+    let moved = roster.set_layout(node.ring_layout()).expect("another place");
     assert_eq!(moved.update.kind, ListKind::Subset);
     node.handle(ms(1003), Event::Rings(moved.rings), &mut actions);
     node.handle(ms(1003), Event::List { kind: moved.update.kind, entries: Vec::new() }, &mut actions);
@@ -245,12 +245,12 @@
     const KEYED_IN_A_CELL: usize = 3;
     for class in [KEYED_IN_A_ZONE, KEYED_IN_A_CELL] {
         let mut node = Balancer::new(Settings { nodes: 10, node: 4, ..settings() }, 5);
-        let mut roster = Roster::new(HELD, node.ring_layout());
+        let mut roster = ServerTable::new(HELD, node.ring_layout());
         let address = SocketAddr::from(([127, 0, 0, 1], 80));
         // Zones of twenty cells: the servers of a cell are in one zone.
         let zoned = |n| ServerEntry { zone: (n / 80 % 3) as u8, ..listed(n) };
         let backends = (0..LISTED).map(|n| Backend { entry: zoned(n), address }).collect();
-        let told = roster.take(ListUpdate { kind: ListKind::Full, backends }, node.ring_layout());
+        let told = roster.apply(ListUpdate { kind: ListKind::Full, backends }, node.ring_layout());
         let mut actions = Vec::new();
         node.handle(ms(1000), Event::Rings(told.rings), &mut actions);
         let entries = told.update.backends.iter().map(|backend| backend.entry).collect();
--- a/tests/subset_node/costs.rs
+++ b/tests/subset_node/costs.rs
@@ -1,6 +1,6 @@
 //! What a node costs at the size that is coming: 52,000 servers, 110,000 tenants and 22,000 routes together.
 
-use crate::lists::large::{cost, servers, told_of, waits};
+use crate::lists::large::{resource_use, servers, print_latencies, latencies_during};
 use crate::sockets::*;
 use std::fmt::Write;
 use std::thread::sleep;
@@ -75,9 +75,9 @@
     watch.open();
     watch.line(&list(8, true, &all));
     until(|| node.is_ready(), "readiness");
-    let (ready, processor) = (begun.elapsed().as_secs_f64(), cost(&node).0);
+    let (ready, processor) = (begun.elapsed().as_secs_f64(), resource_use(&node).0);
     sleep(Duration::from_secs(2));
-    let (_, steady, peak) = cost(&node);
+    let (_, steady, peak) = resource_use(&node);
     println!(
         "{count} servers, {tenants} tenants, {routes} routes, {held:?}: listens after {listens:.3} s, ready after \
          {ready:.3} s, processor {processor:.2} s, memory {steady:.1} MB, peak {peak:.1} MB"
@@ -85,31 +85,31 @@
     if count == 0 {
         return;
     }
-    told_of("with nothing new", &waits(&node, || sleep(Duration::from_secs(4))));
+    print_latencies("with nothing new", &latencies_during(&node, || sleep(Duration::from_secs(4))));
     let rounds = 20;
     let mut version = 9;
-    let before = cost(&node).0;
+    let before = resource_use(&node).0;
     let mut tell = |entries: &[String], whole: bool| {
         watch.line(&list(version, whole, entries));
         version += 1;
     };
-    told_of("with whole lists without a pause", &waits(&node, || (0..rounds).for_each(|_| tell(&all, true))));
-    println!("  processor {:.3} s for a list", (cost(&node).0 - before) / f64::from(rounds));
-    let apart = waits(&node, || {
+    print_latencies("with whole lists without a pause", &latencies_during(&node, || (0..rounds).for_each(|_| tell(&all, true))));
+    println!("  processor {:.3} s for a list", (resource_use(&node).0 - before) / f64::from(rounds));
+    let apart = latencies_during(&node, || {
         for _ in 0..8 {
             tell(&all, true);
             sleep(Duration::from_millis(500));
         }
     });
-    told_of("with a whole list each half a second", &apart);
+    print_latencies("with a whole list each half a second", &apart);
     let zone: Vec<_> = all.iter().take(IN_A_ZONE).map(|it| it.replace("in_service", "terminated")).collect();
-    let before = cost(&node).0;
-    let gone = waits(&node, || {
+    let before = resource_use(&node).0;
+    let gone = latencies_during(&node, || {
         tell(&zone, false);
         sleep(Duration::from_secs(2));
     });
-    told_of("with a zone that goes", &gone);
-    println!("  processor {:.3} s for it and 2 s of requests", cost(&node).0 - before);
-    let (_, steady, peak) = cost(&node);
+    print_latencies("with a zone that goes", &gone);
+    println!("  processor {:.3} s for it and 2 s of requests", resource_use(&node).0 - before);
+    let (_, steady, peak) = resource_use(&node);
     println!("  after that: memory {steady:.1} MB, peak {peak:.1} MB");
 }
