--- a/src/bin/sillward/backend.rs
+++ b/src/bin/sillward/backend.rs
@@ -1,8 +1,8 @@
 //! The backends' side: attempts, the pool of connections, probes.
 
 use crate::backend_stream::{BackendStream, ExchangeState, Quarantine};
-use crate::body::{KEPT, Outgoing, Piece, STALLED};
-use crate::handover::Pair;
+use crate::body::{MAX_BUFFERED_BYTES, AttemptBody, BodyChunk, STALL_TIMEOUT};
+use crate::handover::HotRestart;
 use crate::messages::{Attempt, Ended, Message, Started, Stop};
 use bytes::{Bytes, BytesMut};
 use hillpick::control::clock::Clock;
@@ -48,7 +48,7 @@
     server: ServerId,
     /// Which run of the backend, at which address, it leads to.
     epoch: u64,
-    sender: SendRequest<Outgoing>,
+    sender: SendRequest<AttemptBody>,
     exchange: Rc<ExchangeState>,
     task: AbortHandle,
     open: Rc<Cell<usize>>,
@@ -113,11 +113,11 @@
     open: Rc<Cell<usize>>,
     most_open: usize,
     current: Current,
-    pair: Rc<Pair>,
+    pair: Rc<HotRestart>,
 }
 
 impl Pool {
-    pub fn start(clock: Clock, config: &Config, current: Current, pair: Rc<Pair>) -> Rc<Self> {
+    pub fn start(clock: Clock, config: &Config, current: Current, pair: Rc<HotRestart>) -> Rc<Self> {
         let pool = Rc::new(Pool {
             clock,
             places: RefCell::default(),
@@ -163,7 +163,7 @@
             });
             place.rested /= 2; // what a further connection saves it saves while it is kept
         }
-        while self.open.get() > self.pair.share(self.most_open) && self.close_longest_idle() {}
+        while self.open.get() > self.pair.share_of_limit(self.most_open) && self.close_longest_idle() {}
         let unused = |place: &Place| place.state == ServerState::Gone && place.dialling == 0;
         let told_long_ago = |place: &Place| place.told.is_some_and(|at| now > at + 10 * drain_grace);
         self.places.borrow_mut().retain(|_, place| !(unused(place) && told_long_ago(place)));
@@ -237,7 +237,7 @@
         if let Some((connection, _)) = place.rested() {
             return Ok(Found::Free(connection));
         }
-        let full = self.open.get() >= self.pair.share(self.most_open);
+        let full = self.open.get() >= self.pair.share_of_limit(self.most_open);
         if let Some(rest) = place.idle.first().map(|(connection, _)| connection.exchange.rests()) {
             if full || place.rested + rest <= WORTH_A_DIAL {
                 place.rested += rest;
@@ -487,7 +487,7 @@
     /// The request as it is written now, if it may still be: not past its time, the backend's grace or the
     /// window in which backends drop its repeats, not to another run of the backend, and not once it has its answer or its
     /// client has left.
-    fn request(&self, run: Option<u64>, attempt: &Attempt) -> Option<Request<Outgoing>> {
+    fn request(&self, run: Option<u64>, attempt: &Attempt) -> Option<Request<AttemptBody>> {
         let (now, forward) = (self.clock.now(), &attempt.forward);
         let places = self.places.borrow();
         let place = places.get(&attempt.server).filter(|place| Some(place.run) == run)?;
@@ -527,7 +527,7 @@
     ) -> (Outcome, Option<LoadReport>, Option<Bytes>) {
         let (head, mut body) = response.into_parts();
         let length = body.size_hint().exact();
-        if head.status != StatusCode::OK || length.is_some_and(|length| length <= KEPT as u64) {
+        if head.status != StatusCode::OK || length.is_some_and(|length| length <= MAX_BUFFERED_BYTES as u64) {
             let answered = self.answered(attempt.server, Response::from_parts(head, body)).await;
             if answered.is_whole() {
                 self.put_after(attempt, connection);
@@ -540,7 +540,7 @@
         let until = attempt.until.min(attempt.forward.deadline.get());
         let hold = self.clock.instant(now + until.saturating_sub(now) / 2);
         let mut start = BytesMut::new();
-        while start.is_empty() || length.is_none() && start.len() <= KEPT {
+        while start.is_empty() || length.is_none() && start.len() <= MAX_BUFFERED_BYTES {
             let frame = match timeout_at(hold, body.frame()).await {
                 Err(_) if start.is_empty() => body.frame().await,
                 Err(_) => break,
@@ -562,11 +562,11 @@
         }
         stage.set(Stage::Started);
         let mut left = length.map(|length| length.saturating_sub(start.len() as u64));
-        let mut piece = Piece::Data(start.freeze());
+        let mut piece = BodyChunk::Data(start.freeze());
         loop {
             // Where the length is known nobody asks for an end: the last byte is one.
-            let ends = matches!(piece, Piece::End) || left == Some(0);
-            match timeout(STALLED, passing.send(piece)).await {
+            let ends = matches!(piece, BodyChunk::End) || left == Some(0);
+            match timeout(STALL_TIMEOUT, passing.send(piece)).await {
                 Ok(Ok(())) if ends => break,
                 Ok(Ok(())) => {}
                 // The client has left, or reads nothing more, or has had another answer.
@@ -574,16 +574,16 @@
             }
             let frame = tokio::select! {
                 biased;
-                frame = timeout(STALLED, body.frame()) => frame,
+                frame = timeout(STALL_TIMEOUT, body.frame()) => frame,
                 () = passing.closed() => return (Outcome::Cancelled, report, None),
             };
             piece = match frame {
                 Ok(Some(Ok(frame))) => {
                     let data = frame.into_data().unwrap_or_default();
                     left = left.map(|left| left.saturating_sub(data.len() as u64));
-                    Piece::Data(data)
+                    BodyChunk::Data(data)
                 }
-                Ok(None) => Piece::End,
+                Ok(None) => BodyChunk::End,
                 Ok(Some(Err(_))) | Err(_) => return (Outcome::Reset, report, None),
             };
         }
@@ -602,10 +602,10 @@
     async fn answered(self: &Rc<Self>, server: ServerId, response: Response<Incoming>) -> ShortAnswer {
         let (head, body) = response.into_parts();
         let report = self.report_in(&head.headers);
-        let body = match Limited::new(body, KEPT).collect().await {
+        let body = match Limited::new(body, MAX_BUFFERED_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
             Err(e) if e.is::<LengthLimitError>() => {
-                log(format_args!("server {:x}: an answer over {KEPT} bytes was dropped", server.0));
+                log(format_args!("server {:x}: an answer over {MAX_BUFFERED_BYTES} bytes was dropped", server.0));
                 return ShortAnswer { outcome: Outcome::Error, report, body: None };
             }
             Err(_) => return ShortAnswer { outcome: Outcome::Reset, report: None, body: None },
@@ -630,7 +630,7 @@
             Ok(connection) => connection,
             Err(outcome) => return (outcome, None),
         };
-        let mut request = Request::new(Outgoing::Kept(Full::default()));
+        let mut request = Request::new(AttemptBody::Buffered(Full::default()));
         *request.method_mut() = Method::GET;
         let reports = self.reports() != ReportSource::None;
         *request.uri_mut() = hyper::Uri::from_static(if reports { "/stats" } else { "/health/live" });
--- a/src/bin/sillward/backend/tests.rs
+++ b/src/bin/sillward/backend/tests.rs
@@ -473,7 +473,7 @@
     client.write_all(head.as_bytes()).await.expect("it is read");
     client.write_all(&vec![b'x'; begun]).await.expect("it is read");
     let body = came.recv().await.expect("a request");
-    let patience = crate::body::Patience::until(tokio::time::Instant::now() + MINUTE);
+    let patience = crate::body::IdleBudget::until(tokio::time::Instant::now() + MINUTE);
     let (upload, _unread) = crate::body::Upload::new((Bytes::new(), None), body, patience, Box::new(|| {}));
     (upload, client)
 }
@@ -482,7 +482,7 @@
 /// all of the first has been written.
 #[test]
 fn a_connection_on_which_half_a_request_was_written_carries_no_other() {
-    const LENGTH: usize = 2 * KEPT;
+    const LENGTH: usize = 2 * MAX_BUFFERED_BYTES;
     for begun in [100, LENGTH] {
         let whole = begun == LENGTH;
         with_pool(async |pool, listener, _| {
--- a/src/bin/sillward/body.rs
+++ b/src/bin/sillward/body.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, Sleep, sleep_until};
 
 /// The most bytes of a body that are kept, either way.
-pub const KEPT: usize = hillpick::control::config::KEPT_BODY;
+pub const MAX_BUFFERED_BYTES: usize = hillpick::control::config::KEPT_BODY;
 /// No body of a request is longer: the operators' days have none over 32 MB.
 pub const LONGEST: u64 = 32 << 20;
 /// A peer may be silent for so long in the midst of a message.
@@ -22,14 +22,14 @@
 /// Bytes come at 64 kB a second or more. Silence is earned again at a quarter of that: a trickle is no progress.
 const SLOWEST: f64 = 16_000.0;
 /// Who has not taken a piece after so long takes no more, and who has not sent one sends no more.
-pub const STALLED: Duration = Duration::from_secs(10);
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long a client that sends a body may still be silent.
-pub struct Patience(Duration);
+pub struct IdleBudget(Duration);
 
-impl Patience {
+impl IdleBudget {
     pub fn until(end: Instant) -> Self {
-        Patience(end.saturating_duration_since(Instant::now()))
+        IdleBudget(end.saturating_duration_since(Instant::now()))
     }
 
     pub fn left(&self) -> Duration {
@@ -67,12 +67,12 @@
 impl std::error::Error for Broken {}
 
 /// What an attempt writes after the head of its request.
-pub enum Outgoing {
-    Kept(Full<Bytes>),
-    Upload(Box<Upload>),
+pub enum AttemptBody {
+    Buffered(Full<Bytes>),
+    Streamed(Box<Upload>),
 }
 
-impl Body for Outgoing {
+impl Body for AttemptBody {
     type Data = Bytes;
     type Error = Broken;
 
@@ -81,22 +81,22 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
         match &mut *self {
-            Outgoing::Kept(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Outgoing::Upload(body) => Pin::new(&mut **body).poll_frame(cx),
+            AttemptBody::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            AttemptBody::Streamed(body) => Pin::new(&mut **body).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outgoing::Kept(body) => body.is_end_stream(),
-            Outgoing::Upload(body) => body.arrived.is_none(),
+            AttemptBody::Buffered(body) => body.is_end_stream(),
+            AttemptBody::Streamed(body) => body.arrived.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Outgoing::Kept(body) => body.size_hint(),
-            Outgoing::Upload(body) => body.size_hint(),
+            AttemptBody::Buffered(body) => body.size_hint(),
+            AttemptBody::Streamed(body) => body.size_hint(),
         }
     }
 }
@@ -108,22 +108,22 @@
     room: Option<OwnedSemaphorePermit>,
     rest: Option<Incoming>,
     passed: u64,
-    patience: Patience,
+    patience: IdleBudget,
     waiting: Option<(Instant, Pin<Box<Sleep>>)>,
     /// Whether its last byte has come; and until then, what tells of it.
     read: Rc<Cell<bool>>,
     arrived: Option<Box<dyn FnOnce()>>,
     /// What is left unread goes back to the client's side when this is dropped.
-    back: Option<oneshot::Sender<(Incoming, Patience)>>,
+    back: Option<oneshot::Sender<(Incoming, IdleBudget)>>,
 }
 
 impl Upload {
     pub fn new(
         (start, room): (Bytes, Option<OwnedSemaphorePermit>),
         rest: Incoming,
-        patience: Patience,
+        patience: IdleBudget,
         arrived: Box<dyn FnOnce()>,
-    ) -> (Self, oneshot::Receiver<(Incoming, Patience)>) {
+    ) -> (Self, oneshot::Receiver<(Incoming, IdleBudget)>) {
         let (back, unread) = oneshot::channel();
         let upload = Upload {
             passed: start.len() as u64,
@@ -139,7 +139,7 @@
         (upload, unread)
     }
 
-    pub fn is_read(&self) -> Rc<Cell<bool>> {
+    pub fn fully_read(&self) -> Rc<Cell<bool>> {
         self.read.clone()
     }
 
@@ -205,20 +205,20 @@
     fn drop(&mut self) {
         let unread = self.rest.take().filter(|_| self.arrived.is_some());
         if let (Some(rest), Some(back)) = (unread, self.back.take()) {
-            let _ = back.send((rest, Patience(self.patience.0))); // or the client has left
+            let _ = back.send((rest, IdleBudget(self.patience.0))); // or the client has left
         }
     }
 }
 
 /// A piece of a long answer. Without an `End` the answer is broken.
-pub enum Piece {
+pub enum BodyChunk {
     Data(Bytes),
     End,
 }
 
 /// A long answer on its way to the client, and what lasts for as long as it is.
 pub struct Download<T> {
-    pub pieces: mpsc::Receiver<Piece>,
+    pub pieces: mpsc::Receiver<BodyChunk>,
     pub length: Option<u64>,
     pub lasts: T,
 }
@@ -232,11 +232,11 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
         Poll::Ready(match ready!(self.pieces.poll_recv(cx)) {
-            Some(Piece::Data(data)) => {
+            Some(BodyChunk::Data(data)) => {
                 self.length = self.length.map(|length| length.saturating_sub(data.len() as u64));
                 Some(Ok(Frame::data(data)))
             }
-            Some(Piece::End) => None,
+            Some(BodyChunk::End) => None,
             None => Some(Err(Broken::Gone)),
         })
     }
--- a/src/bin/sillward/client.rs
+++ b/src/bin/sillward/client.rs
@@ -1,6 +1,6 @@
 //! A client's connection as it stands: when bytes moved on it, and whether it holds a request.
 
-use crate::body::{SILENCE, STALLED};
+use crate::body::{SILENCE, STALL_TIMEOUT};
 use crate::liveness::Liveness;
 use std::cell::Cell;
 use std::time::Duration;
@@ -98,7 +98,7 @@
         let now = Instant::now();
         let Some(idle) = self.idle.get() else {
             // Who takes nothing of its answer keeps the runtime from asking for more, or for its end.
-            let stalled = self.passing.get() && now >= self.moved.get() + STALLED;
+            let stalled = self.passing.get() && now >= self.moved.get() + STALL_TIMEOUT;
             return if stalled { Lapse::Cut } else { Lapse::Later(now + READ_TIMEOUT) };
         };
         let (since, lapse) = match (self.asked.get(), self.begun.get()) {
--- a/src/bin/sillward/front.rs
+++ b/src/bin/sillward/frontend.rs
@@ -1,9 +1,9 @@
 //! The clients' side: takes requests, checks them, and writes the final answers that the node gives.
 
-use crate::body::{Download, KEPT, LONGEST, Patience, STALLED, Upload};
+use crate::body::{Download, MAX_BUFFERED_BYTES, LONGEST, IdleBudget, STALL_TIMEOUT, Upload};
 use crate::client::{Client, Lapse, Leaves, READ_TIMEOUT};
 use crate::client_stream::ClientStream;
-use crate::handover::Pair;
+use crate::handover::HotRestart;
 use crate::lifecycle::{ACCEPT_ON, LAST_WORDS, Lifecycle, Phase, State};
 use crate::liveness::{Liveness, Peer, ask};
 use crate::messages::{Answer, Content, Forward, Message, Requester, Taken};
@@ -55,7 +55,7 @@
 const LONGEST_ID: usize = 256;
 
 /// As long as a request is held, its connection is not idle.
-struct Busy(Rc<Client>, Rc<Front>);
+struct Busy(Rc<Client>, Rc<Frontend>);
 
 impl Drop for Busy {
     fn drop(&mut self) {
@@ -72,10 +72,10 @@
     /// Whether it holds a list of backends.
     pub ready: Rc<Cell<bool>>,
     pub lifecycle: Rc<Lifecycle>,
-    pub pair: Rc<Pair>,
+    pub pair: Rc<HotRestart>,
 }
 
-pub struct Front {
+pub struct Frontend {
     clock: Clock,
     current: Current,
     messages: mpsc::Sender<Message>,
@@ -99,7 +99,7 @@
 /// not come whole when the process was about to end.
 type Bad = (StatusCode, &'static str);
 
-impl Front {
+impl Frontend {
     pub fn new(
         clock: Clock,
         config: &Config,
@@ -107,7 +107,7 @@
         messages: mpsc::Sender<Message>,
         node: Node,
     ) -> Rc<Self> {
-        Rc::new(Front {
+        Rc::new(Frontend {
             clock,
             current,
             messages,
@@ -190,7 +190,7 @@
         let mut changes = self.node.pair.changes();
         loop {
             changes.next().await;
-            let share = self.node.pair.share(self.most_clients);
+            let share = self.node.pair.share_of_limit(self.most_clients);
             let beyond = self.clients.borrow().len().saturating_sub(share);
             (0..beyond).for_each(|_| self.shed_longest_silent());
         }
@@ -239,7 +239,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.clients.borrow().len() >= self.node.pair.share(self.most_clients)
+        self.clients.borrow().len() >= self.node.pair.share_of_limit(self.most_clients)
     }
 
     fn serve_waiting(self: &Rc<Self>) {
@@ -319,9 +319,9 @@
                 }
                 () = sleep_until(look) => match client.lapse() {
                     Lapse::Later(then) => look = then,
-                    Lapse::Leave if client.moved.get().elapsed() < STALLED => {
+                    Lapse::Leave if client.moved.get().elapsed() < STALL_TIMEOUT => {
                         connection.as_mut().graceful_shutdown();
-                        look = client.moved.get() + STALLED;
+                        look = client.moved.get() + STALL_TIMEOUT;
                     }
                     Lapse::Leave | Lapse::Cut => return false,
                 },
@@ -367,7 +367,7 @@
         let since = if first { client.connected } else { Instant::now() };
         let liveness = client.liveness.clone();
         let mut busy = Some(Busy(client, self.clone()));
-        let handled = self.handle(request, Patience::until(since + READ_TIMEOUT), liveness).await;
+        let handled = self.handle(request, IdleBudget::until(since + READ_TIMEOUT), liveness).await;
         let mut response = match handled {
             Ok(response) => response.ok_or(Left)?,
             Err((status, text)) => plain(status, Bytes::from_static(text.as_bytes())),
@@ -377,7 +377,7 @@
             download.lasts = busy.take();
         }
         // Whoever held a request when this process came down to half of the places could not be shed then.
-        let beyond = self.clients.borrow().len() > self.node.pair.share(self.most_clients);
+        let beyond = self.clients.borrow().len() > self.node.pair.share_of_limit(self.most_clients);
         if self.node.lifecycle.now().drains() || beyond {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -388,7 +388,7 @@
     async fn handle(
         &self,
         request: Request<Incoming>,
-        mut patience: Patience,
+        mut patience: IdleBudget,
         liveness: Liveness,
     ) -> Result<Option<Reply>, Bad> {
         let (head, body) = request.into_parts();
@@ -547,10 +547,10 @@
     }
 
     /// Reads what is kept of a body; with the rest if there is more than that, and the room that it takes.
-    async fn read(&self, mut body: Incoming, patience: &mut Patience) -> Result<Read, Bad> {
+    async fn read(&self, mut body: Incoming, patience: &mut IdleBudget) -> Result<Read, Bad> {
         let (mut whole, mut room) = (BytesMut::new(), None);
         if body.size_hint().lower() > LONGEST {
-            spawn_local(read_out(body, Patience::until(Instant::now() + READ_TIMEOUT)));
+            spawn_local(read_out(body, IdleBudget::until(Instant::now() + READ_TIMEOUT)));
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "body over 32 MiB"));
         }
         loop {
@@ -559,7 +559,7 @@
                 biased;
                 frame = timeout(patience.left(), body.frame()) => frame,
                 () = self.node.lifecycle.last_byte() => {
-                    spawn_local(read_out(body, Patience::until(Instant::now() + READ_TIMEOUT)));
+                    spawn_local(read_out(body, IdleBudget::until(Instant::now() + READ_TIMEOUT)));
                     return Err((StatusCode::SERVICE_UNAVAILABLE, "terminating"));
                 }
             };
@@ -570,11 +570,11 @@
             let data = frame.into_data().unwrap_or_default();
             patience.came(asked.elapsed(), data.len());
             whole.extend_from_slice(&data);
-            if whole.len() > KEPT {
+            if whole.len() > MAX_BUFFERED_BYTES {
                 return Ok((whole.freeze(), Some(body), room));
             }
             if whole.len() > SMALL && room.is_none() {
-                room = self.room.clone().acquire_many_owned((KEPT / 1024) as u32).await.ok();
+                room = self.room.clone().acquire_many_owned((MAX_BUFFERED_BYTES / 1024) as u32).await.ok();
             }
         }
     }
@@ -602,7 +602,7 @@
 impl std::error::Error for Left {}
 
 /// Reads a body to its end for nobody, as far as one may go, so that its sender sees the answer and not a reset.
-async fn read_out(mut body: Incoming, mut patience: Patience) {
+async fn read_out(mut body: Incoming, mut patience: IdleBudget) {
     let mut length = 0;
     while length <= LONGEST {
         let asked = Instant::now();
@@ -633,6 +633,6 @@
 }
 
 #[cfg(test)]
-mod leaving;
+mod disconnects;
 #[cfg(test)]
 mod tests;
--- a/src/bin/sillward/front/leaving.rs
+++ b/src/bin/sillward/frontend/disconnects.rs
@@ -28,7 +28,7 @@
 }
 
 struct Rig {
-    front: Rc<Front>,
+    front: Rc<Frontend>,
     listener: TcpListener,
     /// The ids that backends were sent, each with its connection; and how many clients the node was told have left.
     ran: Rc<RefCell<Vec<String>>>,
@@ -88,7 +88,7 @@
             lifecycle: Rc::new(Lifecycle::new()),
             pair: Rc::default(),
         };
-        let front = Front::new(clock, &config, current, messages.clone(), node);
+        let front = Frontend::new(clock, &config, current, messages.clone(), node);
         let news = ListUpdate { kind: ListKind::Full, backends };
         messages.send(Message::List(news)).await.unwrap_or_else(|_| panic!("a node"));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/src/bin/sillward/front/tests.rs
+++ b/src/bin/sillward/frontend/tests.rs
@@ -8,12 +8,12 @@
     "settings": {"Classes": [{"Name": "submit", "Target": 1, "GiveUp": 1, "Idempotency": "single_shot"}]}}"#;
 
 /// A front, and what reaches the node behind it.
-fn front(config: &str) -> (Rc<Front>, mpsc::Receiver<Message>) {
+fn front(config: &str) -> (Rc<Frontend>, mpsc::Receiver<Message>) {
     let config = Config::parse(config).expect("good");
     let (messages, inbox) = mpsc::channel(4096);
     let node = Node { ready: Rc::default(), lifecycle: Rc::new(Lifecycle::new()), pair: Rc::default() };
     let current = Current::new(config.site.clone());
-    (Front::new(Clock::start(), &config, current, messages, node), inbox)
+    (Frontend::new(Clock::start(), &config, current, messages, node), inbox)
 }
 
 /// Answers each request with its id after so long. Returns the ids, as they come.
--- a/src/bin/sillward/handover.rs
+++ b/src/bin/sillward/handover.rs
@@ -67,7 +67,7 @@
 
 /// Whether another process of this node runs as well, which, and how it stands.
 #[derive(Default)]
-pub struct Pair {
+pub struct HotRestart {
     others: watch::Sender<Others>,
     accepts: watch::Sender<bool>,
 }
@@ -84,7 +84,7 @@
     }
 }
 
-impl Pair {
+impl HotRestart {
     /// All changes from now on.
     pub fn changes(&self) -> Changes {
         Changes(self.others.subscribe())
@@ -126,19 +126,19 @@
     }
 
     /// What this process may use of so many connections. Two processes both need what is spared for other things.
-    pub fn share(&self, all: usize) -> usize {
+    pub fn share_of_limit(&self, all: usize) -> usize {
         let two = self.has_predecessor() || self.has_successor();
         if two { (all.saturating_sub(SPARE_SOCKETS / 2) / 2).max(1) } else { all }
     }
 }
 
-impl Siblings for Pair {
+impl Siblings for HotRestart {
     fn has_predecessor(&self) -> bool {
-        Pair::has_predecessor(self)
+        HotRestart::has_predecessor(self)
     }
 
     fn has_successor(&self) -> bool {
-        Pair::has_successor(self)
+        HotRestart::has_successor(self)
     }
 }
 
@@ -159,7 +159,7 @@
 pub async fn take_over(
     place: &Path,
     listen: SocketAddr,
-    pair: &Rc<Pair>,
+    pair: &Rc<HotRestart>,
     lifecycle: &Rc<Lifecycle>,
 ) -> Option<Sockets> {
     let stream = timeout(PATIENCE, UnixStream::connect(place)).await.ok()?.ok()?;
@@ -220,7 +220,7 @@
     place: PathBuf,
     listener: OwnedFd,
     meeting: Option<UnixListener>,
-    pair: Rc<Pair>,
+    pair: Rc<HotRestart>,
     lifecycle: Rc<Lifecycle>,
 ) {
     let meeting = match meeting.map_or_else(|| meet(&place), Ok) {
@@ -270,7 +270,7 @@
 /// the connection or is gone.
 async fn keep_company(
     mut stream: UnixStream,
-    pair: &Pair,
+    pair: &HotRestart,
     lifecycle: &Lifecycle,
     mut said: Option<Told>,
     mut hear: impl FnMut(Told),
--- a/src/bin/sillward/handover/tests.rs
+++ b/src/bin/sillward/handover/tests.rs
@@ -45,7 +45,7 @@
         let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = first.local_addr().expect("its address");
         let socket = first.as_fd().try_clone_to_owned().expect("a handle");
-        let (old, new) = (Rc::<Pair>::default(), Rc::<Pair>::default());
+        let (old, new) = (Rc::<HotRestart>::default(), Rc::<HotRestart>::default());
         let offers = spawn_local(offer(place.clone(), socket, None, old.clone(), alive()));
         until(|| place.exists()).await;
         // It waits in the queue, and the first listener is closed before anybody accepts it.
@@ -57,17 +57,17 @@
         timeout(PATIENCE, second.accept()).await.expect("what waited").expect("a connection");
         until(|| old.has_successor()).await;
         assert!(new.has_predecessor() && !new.has_successor() && !old.has_predecessor());
-        assert_eq!((old.share(100), new.share(100), new.share(9)), (38, 38, 1));
+        assert_eq!((old.share_of_limit(100), new.share_of_limit(100), new.share_of_limit(9)), (38, 38, 1));
         offers.abort();
         until(|| !new.has_predecessor()).await;
-        assert_eq!(new.share(9), 9);
+        assert_eq!(new.share_of_limit(9), 9);
     });
 }
 
 #[test]
 fn a_leftover_and_a_process_at_a_standstill_hold_up_nobody() {
     at("left", async |place| {
-        let pair = Rc::<Pair>::default();
+        let pair = Rc::<HotRestart>::default();
         let address = "127.0.0.1:1".parse().expect("an address");
         assert!(take_over(&place, address, &pair, &alive()).await.is_none(), "nobody was ever there");
         drop(UnixListener::bind(&place).expect("a name"));
@@ -93,7 +93,7 @@
         let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = first.local_addr().expect("its address");
         let socket = first.as_fd().try_clone_to_owned().expect("a handle");
-        let (old, new) = (Rc::<Pair>::default(), Rc::<Pair>::default());
+        let (old, new) = (Rc::<HotRestart>::default(), Rc::<HotRestart>::default());
         let (before, after) = (alive(), alive());
         old.accept();
         before.enter(State::Standby);
@@ -136,14 +136,14 @@
                 let config = hillpick::control::config::Config::parse(CONFIG).expect("good");
                 let current = hillpick::control::config::Current::new(config.site.clone());
                 let (messages, _inbox) = tokio::sync::mpsc::channel(16);
-                let (pair, lifecycle) = (Rc::<Pair>::default(), alive());
-                let node = crate::front::Node {
+                let (pair, lifecycle) = (Rc::<HotRestart>::default(), alive());
+                let node = crate::frontend::Node {
                     ready: Rc::new(std::cell::Cell::new(true)),
                     lifecycle: lifecycle.clone(),
                     pair: pair.clone(),
                 };
                 let clock = hillpick::control::clock::Clock::start();
-                let front = crate::front::Front::new(clock, &config, current, messages, node);
+                let front = crate::frontend::Frontend::new(clock, &config, current, messages, node);
                 let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
                 let address = listener.local_addr().expect("its address");
                 let mut client = tokio::net::TcpStream::connect(address).await.expect("room in the queue");
@@ -180,14 +180,14 @@
     let told = |byte| Told::of(byte).expect("a state");
     for byte in *b"asTtAS" {
         assert_eq!(told(byte).byte(), byte);
-        let pair = Pair::default();
+        let pair = HotRestart::default();
         for successor in [true, false] {
             let told = Some(told(byte));
             pair.set(|others| {
                 (others.successor, others.predecessor) = if successor { (told, None) } else { (None, told) }
             });
             assert_eq!(pair.other_serves(), byte == b'A' || byte == b'S');
-            assert_eq!(pair.share(100), 38, "it holds connections, whether it accepts more or not");
+            assert_eq!(pair.share_of_limit(100), 38, "it holds connections, whether it accepts more or not");
         }
     }
     assert_eq!(Told::of(b'L'), None, "what an earlier program says");
@@ -205,13 +205,13 @@
         let most = config.client_connections;
         let current = hillpick::control::config::Current::new(config.site.clone());
         let (messages, mut inbox) = tokio::sync::mpsc::channel(256);
-        let (pair, lifecycle) = (Rc::<Pair>::default(), alive());
-        let node = crate::front::Node {
+        let (pair, lifecycle) = (Rc::<HotRestart>::default(), alive());
+        let node = crate::frontend::Node {
             ready: Rc::new(std::cell::Cell::new(true)),
             lifecycle: lifecycle.clone(),
             pair: pair.clone(),
         };
-        let front = crate::front::Front::new(
+        let front = crate::frontend::Frontend::new(
             hillpick::control::clock::Clock::start(),
             &config,
             current,
@@ -235,7 +235,7 @@
             }
         }
         pair.set(|others| others.successor = Some(Told { state: State::Active, accepts: false }));
-        let half = pair.share(most);
+        let half = pair.share_of_limit(most);
         assert!(half < CLIENTS && CLIENTS <= most, "{half} of {most}");
         let mut stay = 0;
         for (client, reply) in clients.iter_mut().zip(held) {
@@ -264,7 +264,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let config = hillpick::control::config::Config::parse(CONFIG).expect("good");
         let current = hillpick::control::config::Current::new(config.site.clone());
-        let pair = Rc::<Pair>::default();
+        let pair = Rc::<HotRestart>::default();
         let clock = hillpick::control::clock::Clock::start();
         let pool = crate::backend::Pool::start(clock, &config, current, pair.clone());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -293,10 +293,10 @@
         for backend in &backends {
             assert_eq!(pool.clone().probe(backend.entry.id).await.0, hillpick::Outcome::Served);
         }
-        let half = pair.share(config.backend_connections);
+        let half = pair.share_of_limit(config.backend_connections);
         assert_eq!((open.get(), closed.get(), half), (backends.len(), 0, backends.len()));
         pair.set(|others| others.predecessor = Some(Told { state: State::Active, accepts: true }));
-        let beyond = backends.len() - pair.share(config.backend_connections);
+        let beyond = backends.len() - pair.share_of_limit(config.backend_connections);
         until(|| closed.get() >= beyond).await;
         assert_eq!(closed.get(), beyond);
     });
--- a/src/bin/sillward/liveness.rs
+++ b/src/bin/sillward/liveness.rs
@@ -20,7 +20,7 @@
 
     /// It has closed its connection or ended its sending, or the connection is broken: HTTP has no word for a client that
     /// sends no more but still waits, and the protocol takes its end for a close.
-    pub fn has_left(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         let Some(stream) = &self.0 else { return false };
         let Some(stream) = stream.upgrade() else { return true };
         ask(&stream.borrow()) == Peer::Left
--- a/src/bin/sillward/liveness/tests.rs
+++ b/src/bin/sillward/liveness/tests.rs
@@ -48,7 +48,7 @@
         for (sends, reads) in [(0, 0), (5, 0), (5, 5), (5, 3)] {
             let (mut client, stream) = pair().await;
             let liveness = Liveness::of(&stream);
-            assert!(!liveness.has_left(), "{how:?} {sends} {reads}");
+            assert!(!liveness.is_disconnected(), "{how:?} {sends} {reads}");
             client.write_all(&b"bytes"[..sends]).await.expect("room for it");
             let mut read = vec![0; reads];
             let mut come = 0;
@@ -59,10 +59,10 @@
                     Err(_) => tokio::task::yield_now().await,
                 }
             }
-            assert!(!liveness.has_left(), "{how:?} {sends} {reads}");
+            assert!(!liveness.is_disconnected(), "{how:?} {sends} {reads}");
             let _half = part(client, how);
-            assert!(liveness.has_left(), "{how:?} {sends} {reads}");
-            assert!(liveness.has_left(), "asked again: {how:?} {sends} {reads}");
+            assert!(liveness.is_disconnected(), "{how:?} {sends} {reads}");
+            assert!(liveness.is_disconnected(), "asked again: {how:?} {sends} {reads}");
         }
     }
 }
@@ -73,9 +73,9 @@
     let (mut client, stream) = pair().await;
     let liveness = Liveness::of(&stream);
     drop(stream);
-    assert!(liveness.has_left());
+    assert!(liveness.is_disconnected());
     assert_eq!(client.read(&mut [0; 1]).await.expect("an end"), 0);
-    assert!(!Liveness::default().has_left());
+    assert!(!Liveness::default().is_disconnected());
 }
 
 /// Every socket of the node: those that it opens, and those that it accepts.
--- a/src/bin/sillward/main.rs
+++ b/src/bin/sillward/main.rs
@@ -7,7 +7,7 @@
 mod body;
 mod client;
 mod client_stream;
-mod front;
+mod frontend;
 mod handover;
 mod lifecycle;
 mod liveness;
@@ -15,7 +15,7 @@
 mod node;
 mod ops;
 
-use handover::{Pair, Sockets};
+use handover::{HotRestart, Sockets};
 use hillpick::control::clock::Clock;
 use hillpick::control::config::{Config, Current, NoConfig};
 use hillpick::control::discovery::Discovery;
@@ -80,7 +80,7 @@
         None => None,
     };
     // Only a node that is operated has upgrades; elsewhere a second process for one address is a mistake.
-    let (pair, place) = (Rc::<Pair>::default(), config.ops.and_then(|_| handover::meeting_place()));
+    let (pair, place) = (Rc::<HotRestart>::default(), config.ops.and_then(|_| handover::meeting_place()));
     let lifecycle = Rc::new(Lifecycle::new());
     let taken = match &place {
         Some(place) => handover::take_over(place, config.listen, &pair, &lifecycle).await,
@@ -115,12 +115,12 @@
         let socket = peers.bind().await.map_err(|e| e.to_string())?;
         tokio::task::spawn_local(peers.run(socket));
     }
-    let front = front::Front::new(
+    let front = frontend::Frontend::new(
         clock,
         &config,
         current.clone(),
         messages.clone(),
-        front::Node { ready: ready.clone(), lifecycle: lifecycle.clone(), pair },
+        frontend::Node { ready: ready.clone(), lifecycle: lifecycle.clone(), pair },
     );
     let mut node = tokio::task::spawn_local(node.run(inbox));
     let mut discovery = tokio::task::spawn_local(discovery.run(discovery_orders));
--- a/src/bin/sillward/messages.rs
+++ b/src/bin/sillward/messages.rs
@@ -1,6 +1,6 @@
 //! What the rooms of the node tell one another: types alone, below all that use them.
 
-use crate::body::{Outgoing, Piece, Upload};
+use crate::body::{AttemptBody, BodyChunk, Upload};
 use crate::liveness::Liveness;
 use bytes::Bytes;
 use hillpick::control::updates::ListUpdate;
@@ -78,14 +78,14 @@
     pub id: RequestId,
     pub number: u32,
     pub length: Option<u64>,
-    pub pieces: mpsc::Receiver<Piece>,
+    pub pieces: mpsc::Receiver<BodyChunk>,
 }
 
 /// A final answer.
 #[derive(Debug)]
 pub enum Answer {
     Served(Bytes),
-    Serving(Option<u64>, mpsc::Receiver<Piece>),
+    Serving(Option<u64>, mpsc::Receiver<BodyChunk>),
     Refused(Option<Duration>),
     Failed,
     TimedOut,
@@ -100,21 +100,21 @@
 
 impl Content {
     pub fn passing(upload: Upload) -> Self {
-        let read = upload.is_read();
+        let read = upload.fully_read();
         Content::Passing(RefCell::new(Some(Box::new(upload))), read)
     }
 
     /// For an attempt to write; `None` if it has been used up.
-    pub fn take(&self) -> Option<Outgoing> {
+    pub fn take(&self) -> Option<AttemptBody> {
         match self {
-            Content::Kept(body) => Some(Outgoing::Kept(Full::new(body.clone()))),
-            Content::Passing(upload, _) => Some(Outgoing::Upload(upload.borrow_mut().take()?)),
+            Content::Kept(body) => Some(AttemptBody::Buffered(Full::new(body.clone()))),
+            Content::Passing(upload, _) => Some(AttemptBody::Streamed(upload.borrow_mut().take()?)),
         }
     }
 
     /// Not a byte of it was written.
-    pub fn put_back(&self, body: Outgoing) {
-        if let (Content::Passing(upload, _), Outgoing::Upload(body)) = (self, body) {
+    pub fn put_back(&self, body: AttemptBody) {
+        if let (Content::Passing(upload, _), AttemptBody::Streamed(body)) = (self, body) {
             *upload.borrow_mut() = Some(body);
         }
     }
@@ -147,7 +147,7 @@
 
     /// Asks the kernel.
     pub fn has_left(&self) -> bool {
-        let left = self.liveness.has_left();
+        let left = self.liveness.is_disconnected();
         if left {
             self.leave();
         }
--- a/src/bin/sillward/node/tests.rs
+++ b/src/bin/sillward/node/tests.rs
@@ -1,7 +1,7 @@
 //! The node's table of requests, on a clock that the test moves, before listeners that play backends.
 
 use super::*;
-use crate::body::{KEPT, Piece};
+use crate::body::{MAX_BUFFERED_BYTES, BodyChunk};
 use crate::messages::Content;
 use bytes::Bytes;
 use hillpick::control::config::Current;
@@ -74,7 +74,7 @@
 
 // ---- The start of an answer, and what would stop its attempt --------------------------------------
 
-const LENGTH: usize = 2 * KEPT;
+const LENGTH: usize = 2 * MAX_BUFFERED_BYTES;
 /// Ends a test that waits in vain, on the machine's clock.
 const PATIENCE: Duration = Duration::from_secs(30);
 
@@ -153,8 +153,8 @@
         let mut taken = 0;
         while taken < length {
             match pieces.recv().await {
-                Some(Piece::Data(data)) => taken += data.len() as u64,
-                Some(Piece::End) | None => break,
+                Some(BodyChunk::Data(data)) => taken += data.len() as u64,
+                Some(BodyChunk::End) | None => break,
             }
         }
         taken
