--- a/src/bin/sillward/backend.rs
+++ b/src/bin/sillward/backend.rs
@@ -107,7 +107,7 @@
     }
 }
 
-pub struct Pool {
+pub struct ConnectionPool {
     clock: Clock,
     places: RefCell<BTreeMap<ServerId, Place>>,
     open: Rc<Cell<usize>>,
@@ -116,9 +116,9 @@
     pair: Rc<Pair>,
 }
 
-impl Pool {
+impl ConnectionPool {
     pub fn start(clock: Clock, config: &Config, current: Current, pair: Rc<Pair>) -> Rc<Self> {
-        let pool = Rc::new(Pool {
+        let pool = Rc::new(ConnectionPool {
             clock,
             places: RefCell::default(),
             open: Rc::default(),
@@ -435,8 +435,8 @@
         };
         // It never ran if it was not written whole, whichever side broke it off.
         let broken = matches!(outcome, Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled);
-        let outcome = if broken && attempt.forward.body.is_cut() { Outcome::NotSent } else { outcome };
-        let spent = attempt.forward.body.is_spent();
+        let outcome = if broken && attempt.forward.body.is_incomplete() { Outcome::NotSent } else { outcome };
+        let spent = attempt.forward.body.is_consumed();
         Ended { id: attempt.id, number: attempt.number, outcome, report, body, spent }
     }
 
@@ -473,7 +473,7 @@
                     // What stood in the way was seen before its first byte.
                     None if connection.exchange.is_unwritten() => {
                         stage.set(Stage::Unwritten);
-                        if attempt.forward.body.is_spent() {
+                        if attempt.forward.body.is_consumed() {
                             return (Outcome::NotSent, None, None);
                         }
                     }
@@ -492,9 +492,9 @@
         let places = self.places.borrow();
         let place = places.get(&attempt.server).filter(|place| Some(place.run) == run)?;
         let forgotten =
-            forward.window.zip(forward.first_byte.get()).is_some_and(|(w, first)| now >= first + w);
+            forward.dedup_window.zip(forward.first_byte_at.get()).is_some_and(|(w, first)| now >= first + w);
         let drained = place.told.is_some_and(|told| now >= told + self.drain_grace());
-        if forward.over.get() || now >= attempt.until || drained || forgotten || forward.client.has_left() {
+        if forward.finished.get() || now >= attempt.until || drained || forgotten || forward.client.check_disconnected() {
             return None;
         }
         // Where the body still comes, the time begins with its last byte.
@@ -510,8 +510,8 @@
         if let Some(key) = &forward.idempotency_key {
             headers.insert("idempotency-key", key.clone());
         }
-        if forward.first_byte.get().is_none() {
-            forward.first_byte.set(Some(now));
+        if forward.first_byte_at.get().is_none() {
+            forward.first_byte_at.set(Some(now));
         }
         Some(request)
     }
@@ -593,7 +593,7 @@
 
     /// A connection on which half a request has been written is of no more use.
     fn put_after(self: &Rc<Self>, attempt: &Attempt, connection: Connection) {
-        if !attempt.forward.body.is_cut() {
+        if !attempt.forward.body.is_incomplete() {
             self.put(connection);
         }
     }
@@ -722,7 +722,7 @@
 
 /// A connection that rests, and that somebody waits for. If they leave it goes back as it was.
 struct Resting<'a> {
-    pool: &'a Pool,
+    pool: &'a ConnectionPool,
     kept: Option<(Connection, Duration)>,
 }
 
@@ -751,7 +751,7 @@
 /// An attempt that waits for a connection. One that was delivered but not fetched goes back to the pool: it
 /// has cost its backend a handshake.
 struct Waiter<'a> {
-    pool: &'a Rc<Pool>,
+    pool: &'a Rc<ConnectionPool>,
     deliver: oneshot::Receiver<Delivery>,
 }
 
--- a/src/bin/sillward/backend/tests.rs
+++ b/src/bin/sillward/backend/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::backend_stream::REST;
-use crate::messages::{Content, Forward};
+use crate::messages::{RequestBody, ForwardedRequest};
 use hillpick::RequestId;
 use hillpick::ServerEntry;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -17,16 +17,16 @@
 const MINUTE: Duration = Duration::from_secs(60);
 
 /// A pool that knows one backend, which listens.
-fn with_pool<T>(test: impl AsyncFnOnce(Rc<Pool>, TcpListener, Backend) -> T) -> T {
+fn with_pool<T>(test: impl AsyncFnOnce(Rc<ConnectionPool>, TcpListener, Backend) -> T) -> T {
     with_pool_of(CONFIG, test)
 }
 
-fn with_pool_of<T>(config: &str, test: impl AsyncFnOnce(Rc<Pool>, TcpListener, Backend) -> T) -> T {
+fn with_pool_of<T>(config: &str, test: impl AsyncFnOnce(Rc<ConnectionPool>, TcpListener, Backend) -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let config = Config::parse(config).expect("good");
-        let pool = Pool::start(Clock::start(), &config, Current::new(config.site.clone()), Rc::default());
+        let pool = ConnectionPool::start(Clock::start(), &config, Current::new(config.site.clone()), Rc::default());
         let entry = ServerEntry { id: SERVER, state: ServerState::Ready, ..ServerEntry::default() };
         let backend = Backend { entry, address: listener.local_addr().expect("its address") };
         pool.update(ListKind::Full, std::slice::from_ref(&backend), pool.clock.now());
@@ -35,20 +35,20 @@
 }
 
 /// An attempt at a request with such an id.
-fn asks(pool: &Pool, id: &'static str) -> Attempt {
+fn asks(pool: &ConnectionPool, id: &'static str) -> Attempt {
     let now = pool.clock.now();
-    let forward = Forward {
+    let forward = ForwardedRequest {
         method: Method::POST,
         path: hyper::http::uri::PathAndQuery::from_static("/submit/1"),
         call_id: HeaderValue::from_static(id),
         idempotency_key: None,
-        body: Content::Kept(Bytes::new()),
-        room: None,
+        body: RequestBody::Buffered(Bytes::new()),
+        buffer_permit: None,
         budget: MINUTE,
         deadline: Cell::new(now + MINUTE),
-        window: Some(MINUTE),
-        first_byte: Cell::new(None),
-        over: Cell::new(false),
+        dedup_window: Some(MINUTE),
+        first_byte_at: Cell::new(None),
+        finished: Cell::new(false),
         client: Rc::default(),
     };
     Attempt { id: RequestId(1), number: 0, server: SERVER, until: now + MINUTE, forward: Rc::new(forward) }
@@ -56,7 +56,7 @@
 
 /// Makes an attempt that something has overtaken since it was decided on; returns how it ended and what
 /// its backend was sent.
-fn overtaken(by: impl FnOnce(&Pool, &mut Attempt, Backend, Duration)) -> (Outcome, String) {
+fn overtaken(by: impl FnOnce(&ConnectionPool, &mut Attempt, Backend, Duration)) -> (Outcome, String) {
     with_pool(async |pool, listener, backend| {
         let now = pool.clock.now();
         let mut attempt = asks(&pool, "1");
@@ -76,7 +76,7 @@
 }
 
 /// How many connections to the backend are idle in the pool.
-fn idle(pool: &Pool) -> usize {
+fn idle(pool: &ConnectionPool) -> usize {
     pool.places.borrow().get(&SERVER).map_or(0, |place| place.idle.len())
 }
 
@@ -175,9 +175,9 @@
     let nothing = || (Outcome::NotSent, String::new());
     let late = overtaken(|_, attempt, _, now| attempt.until = now);
     assert_eq!(late, nothing(), "its time is over");
-    let over = overtaken(|_, attempt, _, _| attempt.forward.over.set(true));
+    let over = overtaken(|_, attempt, _, _| attempt.forward.finished.set(true));
     assert_eq!(over, nothing(), "the request has its answer");
-    let forgotten = overtaken(|_, attempt, _, now| attempt.forward.first_byte.set(Some(now - 2 * MINUTE)));
+    let forgotten = overtaken(|_, attempt, _, now| attempt.forward.first_byte_at.set(Some(now - 2 * MINUTE)));
     assert_eq!(forgotten, nothing(), "backends have forgotten the first attempt of a keyed request");
     let drained = overtaken(|pool, _, mut backend, now| {
         backend.entry.state = ServerState::Draining;
@@ -191,7 +191,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 /// Decides on an attempt at once, and makes it when it is polled: how it ended, and its answer.
-fn served(pool: &Rc<Pool>, id: &'static str) -> impl Future<Output = (Outcome, String)> + use<> {
+fn served(pool: &Rc<ConnectionPool>, id: &'static str) -> impl Future<Output = (Outcome, String)> + use<> {
     let (stop, stopped) = oneshot::channel();
     let (messages, inbox) = mpsc::channel(1);
     let attempt = pool.clone().attempt(asks(pool, id), stopped, messages);
@@ -222,7 +222,7 @@
 }
 
 /// Its backend has been seen to write out of turn, so that its connections rest.
-fn mark(pool: &Pool) {
+fn mark(pool: &ConnectionPool) {
     let quarantine = pool.places.borrow()[&SERVER].quarantine.clone();
     quarantine.expect("it was dialled").stray(Duration::ZERO);
 }
@@ -402,7 +402,7 @@
 }
 
 /// The backend starts anew, perhaps at another address.
-fn restart(pool: &Pool, backend: &Backend) {
+fn restart(pool: &ConnectionPool, backend: &Backend) {
     let mut backend = backend.clone();
     backend.entry.started = Some(pool.clock.now());
     pool.update(ListKind::Changes, &[backend], pool.clock.now());
@@ -489,7 +489,7 @@
             let (body, _client) = upload(LENGTH, begun).await;
             let mut attempt = asks(&pool, "1");
             let forward = Rc::get_mut(&mut attempt.forward).expect("nobody else has it");
-            forward.body = Content::passing(body);
+            forward.body = RequestBody::streamed(body);
             let (_stop, stopped) = oneshot::channel();
             let (messages, _inbox) = mpsc::channel(1);
             let backend = async {
--- a/src/bin/sillward/front.rs
+++ b/src/bin/sillward/front.rs
@@ -6,7 +6,7 @@
 use crate::handover::Pair;
 use crate::lifecycle::{ACCEPT_ON, LAST_WORDS, Lifecycle, Phase, State};
 use crate::liveness::{Liveness, Peer, ask};
-use crate::messages::{Answer, Content, Forward, Message, Requester, Taken};
+use crate::messages::{Answer, RequestBody, ForwardedRequest, Message, ClientPresence, AcceptedRequest};
 use bytes::{Bytes, BytesMut};
 use hillpick::control::clock::Clock;
 use hillpick::control::config::{Config, Current};
@@ -179,7 +179,7 @@
     /// What has not come whole in time is let go before it counts as taken.
     async fn take_no_more(self: Rc<Self>) {
         self.node.lifecycle.last_byte().await;
-        let _ = self.messages.send(Message::LastByte).await;
+        let _ = self.messages.send(Message::BodyDeadline).await;
         while self.clients.borrow().values().any(|client| client.idle.get().is_some() && !client.shed.get()) {
             self.shed_longest_silent();
         }
@@ -420,16 +420,16 @@
         let mut unread = None;
         forward.body = match rest {
             None => {
-                forward.room = room;
-                Content::Kept(body)
+                forward.buffer_permit = room;
+                RequestBody::Buffered(body)
             }
             Some(rest) => {
                 (new.arriving, forward.deadline) = (true, Cell::new(at + ARRIVING));
-                let message = Message::Arrived(new.id);
+                let message = Message::BodyReceived(new.id);
                 let tell = Box::new(move || drop(arrived.send(message)));
                 let (upload, back) = Upload::new((body, room), rest, patience, tell);
                 unread = Some(back);
-                Content::passing(upload)
+                RequestBody::streamed(upload)
             }
         };
         // From here to the sending nothing else happens: the module has the settings that hold now.
@@ -442,10 +442,10 @@
             let tenant = site.tenant_names.get(new.tenant);
             new.tenant = tenant.map_or(0, |name| present.tenant_names.position(name).unwrap_or(usize::MAX));
         }
-        let client = Rc::new(Requester::new(new.id, liveness, left));
+        let client = Rc::new(ClientPresence::new(new.id, liveness, left));
         forward.client = client.clone();
         let gone = Gone(client);
-        place.send(Message::Request(Box::new(Taken { new, at, forward, reply })));
+        place.send(Message::Request(Box::new(AcceptedRequest { request: new, received_at: at, forward, reply })));
         let answer = match (answer.await, gone.0.finish()) {
             (Ok(answer), _) => answer,
             (Err(_), true) => Answer::Failed,
@@ -461,7 +461,7 @@
         }
         Ok(Some(match answer {
             Answer::Served(body) => plain(StatusCode::OK, body),
-            Answer::Serving(length, pieces) => {
+            Answer::Streamed(length, pieces) => {
                 Response::new(Either::Right(Download { pieces, length, lasts: None }))
             }
             Answer::Refused(after) => {
@@ -484,7 +484,7 @@
         head: Parts,
         empty: bool,
         at: Duration,
-    ) -> Result<(NewRequest, Forward), Bad> {
+    ) -> Result<(NewRequest, ForwardedRequest), Bad> {
         const BAD: StatusCode = StatusCode::BAD_REQUEST;
         let path = head.uri.path_and_query().ok_or((BAD, "no path"))?.clone();
         let mut parts = path.path().strip_prefix('/').ok_or((BAD, "no path"))?.split('/');
@@ -529,18 +529,18 @@
             cost: cost.map(Duration::from_micros),
             client_retry: head.headers.get("x-again").is_some_and(|value| value == "1"),
         };
-        let forward = Forward {
+        let forward = ForwardedRequest {
             method,
             path,
             call_id,
             idempotency_key,
-            body: Content::Kept(Bytes::new()),
+            body: RequestBody::Buffered(Bytes::new()),
             budget: remaining,
             deadline: Cell::new(at + remaining),
-            window,
-            room: None,
-            first_byte: Cell::new(None),
-            over: Cell::new(false),
+            dedup_window: window,
+            buffer_permit: None,
+            first_byte_at: Cell::new(None),
+            finished: Cell::new(false),
             client: Rc::default(),
         };
         Ok((new, forward))
@@ -581,11 +581,11 @@
 }
 
 /// A client that leaves drops the future that serves it, and this with it.
-struct Gone(Rc<Requester>);
+struct Gone(Rc<ClientPresence>);
 
 impl Drop for Gone {
     fn drop(&mut self) {
-        self.0.leave();
+        self.0.report_disconnected();
     }
 }
 
--- a/src/bin/sillward/front/leaving.rs
+++ b/src/bin/sillward/front/leaving.rs
@@ -2,7 +2,7 @@
 //! before a backend that it plays.
 
 use super::*;
-use crate::backend::Pool;
+use crate::backend::ConnectionPool;
 use crate::liveness::tests::{Parts, part};
 use hillpick::control::updates::{Backend, ListUpdate};
 use hillpick::{ListKind, ServerEntry, ServerId, ServerState};
@@ -49,7 +49,7 @@
         let (passed, inbox) = mpsc::channel(4096);
         let (orders, mut ordered) = mpsc::channel(16);
         spawn_local(async move { while ordered.recv().await.is_some() {} });
-        let pool = Pool::start(clock, &config, current.clone(), Rc::default());
+        let pool = ConnectionPool::start(clock, &config, current.clone(), Rc::default());
         spawn_local(crate::node::Node::new(clock, &config, pool, passed.clone(), orders).run(inbox));
         let (told, holds) = (Rc::<Cell<usize>>::default(), Rc::<Cell<bool>>::default());
         let (counted, held) = (told.clone(), holds.clone());
--- a/src/bin/sillward/front/tests.rs
+++ b/src/bin/sillward/front/tests.rs
@@ -23,7 +23,7 @@
     spawn_local(async move {
         while let Some(message) = inbox.recv().await {
             let Message::Request(request) = message else { continue };
-            let Taken { forward, reply, .. } = *request;
+            let AcceptedRequest { forward, reply, .. } = *request;
             let id = forward.call_id.to_str().expect("an id").to_owned();
             taken.borrow_mut().push(id.clone());
             spawn_local(async move {
--- a/src/bin/sillward/handover/tests.rs
+++ b/src/bin/sillward/handover/tests.rs
@@ -266,7 +266,7 @@
         let current = hillpick::control::config::Current::new(config.site.clone());
         let pair = Rc::<Pair>::default();
         let clock = hillpick::control::clock::Clock::start();
-        let pool = crate::backend::Pool::start(clock, &config, current, pair.clone());
+        let pool = crate::backend::ConnectionPool::start(clock, &config, current, pair.clone());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("its address");
         let entry =
--- a/src/bin/sillward/main.rs
+++ b/src/bin/sillward/main.rs
@@ -102,7 +102,7 @@
     let (messages, inbox) = mpsc::channel(MESSAGES);
     let (orders, discovery_orders) = mpsc::channel(16);
     let current = Current::new(config.site.clone());
-    let pool = backend::Pool::start(clock, &config, current.clone(), pair.clone());
+    let pool = backend::ConnectionPool::start(clock, &config, current.clone(), pair.clone());
     let (moved, address) = watch::channel(config.discovery);
     let discovery = Discovery::new(&config, current.clone(), address, messages.clone());
     let ready = discovery.ready();
--- a/src/bin/sillward/messages.rs
+++ b/src/bin/sillward/messages.rs
@@ -18,9 +18,9 @@
 
 /// What reaches the node.
 pub enum Message {
-    Request(Box<Taken>),
+    Request(Box<AcceptedRequest>),
     /// The last byte of a long one has come.
-    Arrived(RequestId),
+    BodyReceived(RequestId),
     Started(Started),
     ClientGone(RequestId),
     Attempt(Ended),
@@ -28,18 +28,18 @@
     List(ListUpdate),
     Settings(Box<Replacement>),
     /// What is known of the tier has changed.
-    Tier(Tier),
+    FleetView(Tier),
     /// The staff ask how the zones stand, after an order if there is one.
-    Zones(Option<Evacuation>, oneshot::Sender<Option<Vec<ZoneTold>>>),
+    ZoneQuery(Option<EvacuationCommand>, oneshot::Sender<Option<Vec<ZoneStatus>>>),
     /// The staff ask how much of the list the node holds.
-    Subset(oneshot::Sender<Option<SubsetTold>>),
+    SubsetQuery(oneshot::Sender<Option<SubsetStatus>>),
     /// The process is told to stop, and what has not come whole by now is not taken any more.
-    LastByte,
+    BodyDeadline,
 }
 
 /// How much of the list a node holds, where it does not hold all of it.
 #[derive(Serialize)]
-pub struct SubsetTold {
+pub struct SubsetStatus {
     /// Ready servers on the list.
     pub ready: usize,
     /// Servers that are held, those that drain among them.
@@ -50,26 +50,26 @@
 }
 
 /// The staff want a zone of this name empty for so long, or not any more.
-pub struct Evacuation {
+pub struct EvacuationCommand {
     pub zone: String,
-    pub lasts: Option<Duration>,
+    pub duration: Option<Duration>,
 }
 
 /// A zone by its name, as the module sees it, and for how long it has stood so.
-pub struct ZoneTold {
+pub struct ZoneStatus {
     pub name: String,
     pub view: ZoneView,
-    pub age: Duration,
+    pub state_age: Duration,
     /// So long it stays evacuated.
-    pub left: Option<Duration>,
+    pub evacuation_left: Option<Duration>,
 }
 
 /// A request that the front has taken.
-pub struct Taken {
-    pub new: NewRequest,
+pub struct AcceptedRequest {
+    pub request: NewRequest,
     /// When its last byte had come.
-    pub at: Duration,
-    pub forward: Forward,
+    pub received_at: Duration,
+    pub forward: ForwardedRequest,
     pub reply: oneshot::Sender<Answer>,
 }
 
@@ -85,76 +85,76 @@
 #[derive(Debug)]
 pub enum Answer {
     Served(Bytes),
-    Serving(Option<u64>, mpsc::Receiver<Piece>),
+    Streamed(Option<u64>, mpsc::Receiver<Piece>),
     Refused(Option<Duration>),
     Failed,
     TimedOut,
 }
 
 /// A request's body.
-pub enum Content {
-    Kept(Bytes),
+pub enum RequestBody {
+    Buffered(Bytes),
     /// Too long for that: whoever takes it reads it from the client. It may be given back unread.
-    Passing(RefCell<Option<Box<Upload>>>, Rc<Cell<bool>>),
+    Streamed(RefCell<Option<Box<Upload>>>, Rc<Cell<bool>>),
 }
 
-impl Content {
-    pub fn passing(upload: Upload) -> Self {
+impl RequestBody {
+    pub fn streamed(upload: Upload) -> Self {
         let read = upload.is_read();
-        Content::Passing(RefCell::new(Some(Box::new(upload))), read)
+        RequestBody::Streamed(RefCell::new(Some(Box::new(upload))), read)
     }
 
     /// For an attempt to write; `None` if it has been used up.
     pub fn take(&self) -> Option<Outgoing> {
         match self {
-            Content::Kept(body) => Some(Outgoing::Kept(Full::new(body.clone()))),
-            Content::Passing(upload, _) => Some(Outgoing::Upload(upload.borrow_mut().take()?)),
+            RequestBody::Buffered(body) => Some(Outgoing::Kept(Full::new(body.clone()))),
+            RequestBody::Streamed(upload, _) => Some(Outgoing::Upload(upload.borrow_mut().take()?)),
         }
     }
 
     /// Not a byte of it was written.
     pub fn put_back(&self, body: Outgoing) {
-        if let (Content::Passing(upload, _), Outgoing::Upload(body)) = (self, body) {
+        if let (RequestBody::Streamed(upload, _), Outgoing::Upload(body)) = (self, body) {
             *upload.borrow_mut() = Some(body);
         }
     }
 
     /// An attempt has taken it, and it was not kept.
-    pub fn is_spent(&self) -> bool {
-        matches!(self, Content::Passing(upload, _) if upload.borrow().is_none())
+    pub fn is_consumed(&self) -> bool {
+        matches!(self, RequestBody::Streamed(upload, _) if upload.borrow().is_none())
     }
 
     /// Its last byte has not been passed on yet, and will not be if the attempt has ended.
-    pub fn is_cut(&self) -> bool {
-        matches!(self, Content::Passing(_, read) if !read.get())
+    pub fn is_incomplete(&self) -> bool {
+        matches!(self, RequestBody::Streamed(_, read) if !read.get())
     }
 }
 
 /// The client of a request, until that has its final answer. Whoever finds that it has left, its connection or an attempt,
 /// says so here: the node is told once, ahead of all that comes of it.
 #[derive(Default)]
-pub struct Requester {
+pub struct ClientPresence {
     id: RequestId,
     liveness: Liveness,
     /// The place for that news in the node's queue, kept from the start.
     place: Cell<Option<mpsc::OwnedPermit<Message>>>,
 }
 
-impl Requester {
+impl ClientPresence {
     pub fn new(id: RequestId, liveness: Liveness, place: mpsc::OwnedPermit<Message>) -> Self {
-        Requester { id, liveness, place: Cell::new(Some(place)) }
+        ClientPresence { id, liveness, place: Cell::new(Some(place)) }
     }
 
     /// Asks the kernel.
-    pub fn has_left(&self) -> bool {
+    pub fn check_disconnected(&self) -> bool {
         let left = self.liveness.has_left();
         if left {
-            self.leave();
+            self.report_disconnected();
         }
         left
     }
 
-    pub fn leave(&self) {
+    pub fn report_disconnected(&self) {
         if let Some(place) = self.place.take() {
             place.send(Message::ClientGone(self.id));
         }
@@ -167,24 +167,24 @@
 }
 
 /// What all attempts of a request share: what goes on unchanged, and what binds them.
-pub struct Forward {
+pub struct ForwardedRequest {
     pub method: Method,
     pub path: PathAndQuery,
     pub call_id: HeaderValue,
     pub idempotency_key: Option<HeaderValue>,
-    pub body: Content,
+    pub body: RequestBody,
     /// The room that it takes, for as long as this lasts.
-    pub room: Option<OwnedSemaphorePermit>,
+    pub buffer_permit: Option<OwnedSemaphorePermit>,
     /// How long the client waits once its request has come.
     pub budget: Duration,
     /// When it stops waiting: late, while its request is still coming.
     pub deadline: Cell<Duration>,
     /// How long backends remember a keyed request, from the first byte of the first attempt.
-    pub window: Option<Duration>,
-    pub first_byte: Cell<Option<Duration>>,
+    pub dedup_window: Option<Duration>,
+    pub first_byte_at: Cell<Option<Duration>>,
     /// It has its final answer, or its client has left: nothing more is sent for it.
-    pub over: Cell<bool>,
-    pub client: Rc<Requester>,
+    pub finished: Cell<bool>,
+    pub client: Rc<ClientPresence>,
 }
 
 /// An attempt to be made.
@@ -194,7 +194,7 @@
     pub server: ServerId,
     /// When the node stops waiting for it.
     pub until: Duration,
-    pub forward: Rc<Forward>,
+    pub forward: Rc<ForwardedRequest>,
 }
 
 /// Why an attempt is stopped.
@@ -230,6 +230,6 @@
 
 impl From<Tier> for Message {
     fn from(tier: Tier) -> Self {
-        Message::Tier(tier)
+        Message::FleetView(tier)
     }
 }
--- a/src/bin/sillward/node.rs
+++ b/src/bin/sillward/node.rs
@@ -1,10 +1,10 @@
 //! The node itself: the only owner of the [`Balancer`]. One loop takes events in and carries actions out;
 //! it decides nothing. Its request table alone gives final answers, and gives each exactly once.
 
-use crate::backend::Pool;
+use crate::backend::ConnectionPool;
 use crate::messages::{
-    Answer, Attempt, Ended, Evacuation, Forward, Message, ProbeEnded, Started, Stop, SubsetTold, Taken,
-    ZoneTold,
+    Answer, Attempt, Ended, EvacuationCommand, ForwardedRequest, Message, ProbeEnded, Started, Stop, SubsetStatus, AcceptedRequest,
+    ZoneStatus,
 };
 use hillpick::control::clock::Clock;
 use hillpick::control::config::Config;
@@ -23,7 +23,7 @@
 use tokio::time::sleep_until;
 
 struct Held {
-    forward: Rc<Forward>,
+    forward: Rc<ForwardedRequest>,
     /// The way to the client, until the final answer has gone there.
     reply: Option<oneshot::Sender<Answer>>,
     /// By the rules that it came under.
@@ -45,7 +45,7 @@
 impl Held {
     /// The one place where a final answer leaves. False if there has been one.
     fn answer(&mut self, answer: Answer) -> bool {
-        self.forward.over.set(true);
+        self.forward.finished.set(true);
         // An error means that the client has just left: then no answer is owed.
         self.reply.take().map(|reply| reply.send(answer)).is_some()
     }
@@ -61,7 +61,7 @@
 pub struct Node {
     clock: Clock,
     balancer: Balancer,
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     messages: mpsc::Sender<Message>,
     discovery: mpsc::Sender<DiscoveryCommand>,
     /// All of the list, where balancer and pool hold a subset of it.
@@ -77,7 +77,7 @@
     pub fn new(
         clock: Clock,
         config: &Config,
-        pool: Rc<Pool>,
+        pool: Rc<ConnectionPool>,
         messages: mpsc::Sender<Message>,
         discovery: mpsc::Sender<DiscoveryCommand>,
     ) -> Self {
@@ -134,11 +134,11 @@
             Message::ClientGone(id) => {
                 let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else { return };
                 held.reply = None;
-                held.forward.over.set(true);
+                held.forward.finished.set(true);
                 self.decide(Event::ClientGone { id });
                 self.forget(id);
             }
-            Message::Arrived(id) => self.on_arrived(id),
+            Message::BodyReceived(id) => self.on_arrived(id),
             Message::Started(started) => self.on_started(started),
             Message::Attempt(ended) => self.on_attempt(ended),
             Message::Probe(ProbeEnded { server, outcome, sent, report }) => {
@@ -146,19 +146,19 @@
                 self.decide(Event::Probed(ProbeEnd { server, outcome, elapsed, report }));
             }
             Message::List(news) => self.on_list(news),
-            Message::Tier(tier) => {
+            Message::FleetView(tier) => {
                 self.decide(Event::Tier(tier));
                 self.move_subset();
             }
-            Message::Zones(order, reply) => {
+            Message::ZoneQuery(order, reply) => {
                 let told = self.zones(order);
                 let _ = reply.send(told); // who asked may have gone
             }
-            Message::Subset(reply) => {
+            Message::SubsetQuery(reply) => {
                 let _ = reply.send(self.subset()); // who asked may have gone
             }
-            Message::LastByte => {
-                let arriving = self.held.iter().filter(|(_, held)| held.forward.body.is_cut());
+            Message::BodyDeadline => {
+                let arriving = self.held.iter().filter(|(_, held)| held.forward.body.is_incomplete());
                 let out = arriving.flat_map(|(id, held)| (0..held.attempts.len()).map(|i| (*id, i as u32)));
                 // The module hears that they were never sent whole, and can't be: it gives the answer.
                 out.collect::<Vec<_>>().into_iter().for_each(|(id, i)| self.stop(id, i, Stop::Cancelled));
@@ -200,16 +200,16 @@
         self.decide(Event::List { kind: update.kind, entries });
     }
 
-    fn on_request(&mut self, taken: Box<Taken>) {
-        let Taken { mut new, at, forward, reply } = *taken;
-        let (id, deadline) = (new.id, forward.deadline.get());
-        let waited = self.clock.now().saturating_sub(at);
-        new.remaining = new.remaining.saturating_sub(waited);
-        if !new.arriving {
+    fn on_request(&mut self, taken: Box<AcceptedRequest>) {
+        let AcceptedRequest { mut request, received_at, forward, reply } = *taken;
+        let (id, deadline) = (request.id, forward.deadline.get());
+        let waited = self.clock.now().saturating_sub(received_at);
+        request.remaining = request.remaining.saturating_sub(waited);
+        if !request.arriving {
             self.set_deadline(id, deadline);
         }
         let max_attempts =
-            new.terms.as_ref().map_or(self.site.settings.limits.max_attempts, |terms| terms.max_attempts);
+            request.terms.as_ref().map_or(self.site.settings.limits.max_attempts, |terms| terms.max_attempts);
         let held = Held {
             forward: Rc::new(forward),
             reply: Some(reply),
@@ -217,7 +217,7 @@
             attempts: Vec::new(),
         };
         self.held.insert(id, held);
-        self.decide(Event::Request(new));
+        self.decide(Event::Request(request));
     }
 
     /// A tick early: the answer is to be with the client before it gives up.
@@ -244,7 +244,7 @@
         let Some(out) = held.attempts.get_mut(number as usize) else { return };
         out.started = Some(now.saturating_sub(out.sent));
         let server = out.server;
-        held.answer(Answer::Serving(length, pieces));
+        held.answer(Answer::Streamed(length, pieces));
         self.decide(Event::Started { id, attempt: number, server });
     }
 
@@ -325,24 +325,24 @@
     }
 
     /// How much of the list is held; `None` where all of it is.
-    fn subset(&self) -> Option<SubsetTold> {
+    fn subset(&self) -> Option<SubsetStatus> {
         let (roster, layout) = (self.roster.as_ref()?, self.balancer.ring_layout());
         let RingLayout { node, nodes, .. } = layout;
-        Some(SubsetTold { ready: roster.ready(), held: roster.held(), node, nodes })
+        Some(SubsetStatus { ready: roster.ready(), held: roster.held(), node, nodes })
     }
 
     /// How the zones stand, after an order of the staff's; `None` where the node does not go by zones.
-    fn zones(&mut self, order: Option<Evacuation>) -> Option<Vec<ZoneTold>> {
+    fn zones(&mut self, order: Option<EvacuationCommand>) -> Option<Vec<ZoneStatus>> {
         self.site.settings.zones.as_ref()?;
         if let Some(order) = order {
             let zone = self.site.zone_names.iter().position(|name| *name == order.zone)?;
-            self.decide(Event::Evacuate { zone: u8::try_from(zone).ok()?, lasts: order.lasts });
+            self.decide(Event::Evacuate { zone: u8::try_from(zone).ok()?, lasts: order.duration });
         }
         let now = self.clock.now();
-        let named = self.balancer.zones().into_iter().map(|view| ZoneTold {
+        let named = self.balancer.zones().into_iter().map(|view| ZoneStatus {
             name: self.site.zone_names.get(usize::from(view.zone)).cloned().unwrap_or_default(),
-            age: now.saturating_sub(view.since),
-            left: view.evacuated.map(|until| until.saturating_sub(now)),
+            state_age: now.saturating_sub(view.since),
+            evacuation_left: view.evacuated.map(|until| until.saturating_sub(now)),
             view,
         });
         Some(named.collect())
@@ -370,7 +370,7 @@
         let (stop, stopped) = oneshot::channel();
         let attempt = Attempt { id, number, server, until, forward: held.forward.clone() };
         held.attempts.push(Out { server, sent: now, stop: Some(stop), started: None, ended: false });
-        if !attempt.forward.body.is_cut() {
+        if !attempt.forward.body.is_incomplete() {
             self.set(until, Due::Attempt(id, number)); // one that still comes is timed once it is there
         }
         let (pool, messages) = (self.pool.clone(), self.messages.clone());
--- a/src/bin/sillward/node/tests.rs
+++ b/src/bin/sillward/node/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::body::{KEPT, Piece};
-use crate::messages::Content;
+use crate::messages::RequestBody;
 use bytes::Bytes;
 use hillpick::control::config::Current;
 use hillpick::control::updates::{Backend, ListUpdate};
@@ -31,7 +31,7 @@
     LocalSet::new().block_on(&runtime, async {
         let (clock, config) = (Clock::start(), Config::parse(config).expect("good"));
         let ((messages, inbox), (orders, _orders)) = (mpsc::channel(16), mpsc::channel(16));
-        let pool = Pool::start(clock, &config, Current::new(config.site.clone()), Rc::default());
+        let pool = ConnectionPool::start(clock, &config, Current::new(config.site.clone()), Rc::default());
         test(Node::new(clock, &config, pool, messages, orders), inbox).await
     });
 }
@@ -39,22 +39,22 @@
 fn request(node: &mut Node, number: u64) -> oneshot::Receiver<Answer> {
     let (at, remaining) = (node.clock.now(), Duration::from_secs(1));
     let new = NewRequest { id: RequestId(number), remaining, ..NewRequest::default() };
-    let forward = Forward {
+    let forward = ForwardedRequest {
         method: Method::GET,
         path: PathAndQuery::from_static("/read/1"),
         call_id: HeaderValue::from_static("1"),
         idempotency_key: None,
-        body: Content::Kept(Bytes::new()),
-        room: None,
+        body: RequestBody::Buffered(Bytes::new()),
+        buffer_permit: None,
         budget: remaining,
         deadline: Cell::new(at + remaining),
-        window: None,
-        first_byte: Cell::new(None),
-        over: Cell::new(false),
+        dedup_window: None,
+        first_byte_at: Cell::new(None),
+        finished: Cell::new(false),
         client: Rc::default(),
     };
     let (reply, answer) = oneshot::channel();
-    node.take(Message::Request(Box::new(Taken { new, at, forward, reply })));
+    node.take(Message::Request(Box::new(AcceptedRequest { request: new, received_at: at, forward, reply })));
     answer
 }
 
@@ -147,7 +147,7 @@
 
 /// Writes the rest while the pieces are taken: how many bytes there were, and whether nothing was missing.
 async fn whole(stream: &mut TcpStream, answer: &mut oneshot::Receiver<Answer>) -> bool {
-    let Ok(Answer::Serving(Some(length), mut pieces)) = answer.try_recv() else { return false };
+    let Ok(Answer::Streamed(Some(length), mut pieces)) = answer.try_recv() else { return false };
     let rest = vec![0; LENGTH - "begun".len()];
     let taken = async {
         let mut taken = 0;
@@ -242,7 +242,7 @@
                         tokio::time::advance(Duration::from_secs(1)).await;
                         node.overdue(RequestId(1));
                     }
-                    _ => node.take(Message::LastByte),
+                    _ => node.take(Message::BodyDeadline),
                 }
                 turns().await;
                 if let Some(started) = started {
@@ -254,7 +254,7 @@
                     assert!(served, "{way}, started first: {started_first}");
                 } else {
                     let other = answer.try_recv();
-                    assert!(!matches!(other, Ok(Answer::Serving(..))), "{way}: {other:?}");
+                    assert!(!matches!(other, Ok(Answer::Streamed(..))), "{way}: {other:?}");
                 }
                 forgets(&mut node, &mut inbox).await;
             });
--- a/src/bin/sillward/ops.rs
+++ b/src/bin/sillward/ops.rs
@@ -2,7 +2,7 @@
 //! It shares nothing with the clients' side but the lifecycle, so that no load there delays an answer here.
 
 use crate::lifecycle::{Lifecycle, State};
-use crate::messages::{Evacuation, Message, ZoneTold};
+use crate::messages::{EvacuationCommand, Message, ZoneStatus};
 use bytes::Bytes;
 use hillpick::control::log::log;
 use hillpick::control::peers::view::View;
@@ -165,7 +165,7 @@
     /// How much of the list the node holds.
     async fn subset(&self) -> Response<Full<Bytes>> {
         let (reply, answer) = oneshot::channel();
-        if self.messages.send(Message::Subset(reply)).await.is_err() {
+        if self.messages.send(Message::SubsetQuery(reply)).await.is_err() {
             return told(StatusCode::SERVICE_UNAVAILABLE, "terminating");
         }
         match answer.await.ok().flatten() {
@@ -177,8 +177,8 @@
     /// How the zones stand, after an order if there is one.
     async fn zones(&self, order: Option<(&str, Option<Duration>)>) -> Response<Full<Bytes>> {
         let (reply, answer) = oneshot::channel();
-        let evacuation = order.map(|(zone, lasts)| Evacuation { zone: zone.into(), lasts });
-        if self.messages.send(Message::Zones(evacuation, reply)).await.is_err() {
+        let evacuation = order.map(|(zone, lasts)| EvacuationCommand { zone: zone.into(), duration: lasts });
+        if self.messages.send(Message::ZoneQuery(evacuation, reply)).await.is_err() {
             return told(StatusCode::SERVICE_UNAVAILABLE, "terminating");
         }
         let zones = answer.await.ok().flatten();
@@ -188,7 +188,7 @@
             return told(StatusCode::NOT_FOUND, "no such zone, or no zones are configured");
         };
         let kept = |(at, lasts): (&str, Option<Duration>)| {
-            lasts.is_some() && zones.iter().any(|zone| zone.name == at && zone.left.is_none())
+            lasts.is_some() && zones.iter().any(|zone| zone.name == at && zone.evacuation_left.is_none())
         };
         if order.is_some_and(kept) {
             return told(StatusCode::CONFLICT, "no other zone works: it stays in use");
@@ -230,11 +230,11 @@
     }
 }
 
-fn told_of(zone: &ZoneTold) -> Value {
+fn told_of(zone: &ZoneStatus) -> Value {
     let view = &zone.view;
     json!({"name": zone.name, "share": view.share, "ready": view.ready, "ill": view.ill, "slow": view.slow,
-        "standing": format!("{:?}", view.standing).to_lowercase(), "for_ms": zone.age.as_millis() as u64,
-        "evacuated_for_ms": zone.left.map(|left| left.as_millis() as u64)})
+        "standing": format!("{:?}", view.standing).to_lowercase(), "for_ms": zone.state_age.as_millis() as u64,
+        "evacuated_for_ms": zone.evacuation_left.map(|left| left.as_millis() as u64)})
 }
 
 fn json(value: &Value) -> Response<Full<Bytes>> {
