--- a/tests/bodies/mod.rs
+++ b/tests/bodies/mod.rs
@@ -1,6 +1,6 @@
 //! Bodies that are longer than the node keeps, slow ones, and HTTP/1.1's other ways to frame them.
 
-use crate::sockets::*;
+use crate::harness::*;
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -20,7 +20,7 @@
 fn long_bodies_pass_both_ways_however_they_are_framed() {
     let backend = Backend::start(|message| {
         let body = message.body.clone();
-        match &message.start {
+        match &message.start_line {
             start if start.contains("/chunked") => Reply::Write(Box::new(move |stream| {
                 stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("room");
                 for chunk in body.chunks(70_001) {
@@ -35,14 +35,14 @@
             _ => Reply::Answer("200 OK", "", body),
         }
     });
-    let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     for length in [1, 64 * 1024, 64 * 1024 + 1, 3 * MIB, 32 * MIB] {
         for way in ["length", "chunked", "until-closed"] {
             let (mut client, sent) = (node.client(), bytes(length));
             if way == "length" {
-                client.send(&format!("POST /correct/{way}"), &common(LONG), &sent);
+                client.send(&format!("POST /correct/{way}"), &common_headers(LONG), &sent);
             } else {
-                let head = format!("POST /correct/{way} HTTP/1.1\r\nHost: a\r\n{}", common(LONG));
+                let head = format!("POST /correct/{way} HTTP/1.1\r\nHost: a\r\n{}", common_headers(LONG));
                 client.write(format!("{head}Transfer-Encoding: chunked\r\n\r\n").as_bytes());
                 for chunk in sent.chunks(100_003) {
                     client.write(&[format!("{:x}\r\n", chunk.len()).as_bytes(), chunk, b"\r\n"].concat());
@@ -52,7 +52,7 @@
             let answer = client.answer().expect("an answer");
             assert_eq!((answer.status(), answer.body.len()), (200, length), "{way}");
             assert!(answer.body == sent, "{way}: {length} bytes came back changed");
-            assert!(backend.request().1.body == sent, "{way}: {length} bytes were passed on changed");
+            assert!(backend.next_request().1.body == sent, "{way}: {length} bytes were passed on changed");
         }
     }
 }
@@ -72,37 +72,37 @@
                     let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
                     let _ = stream.write_all(&bytes(length));
                     // Nobody ends before all have begun.
-                    let _ = gate.lock().expect("the gate").recv_timeout(PATIENCE);
+                    let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
                 }))
             })
         })
         .collect();
-    let (node, _watch, _discovery) = serving(&settings(LONG, ""), &backends.iter().collect::<Vec<_>>());
-    let before = node.peak();
+    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &backends.iter().collect::<Vec<_>>());
+    let before = node.peak_memory();
     let mut clients: Vec<_> = (0..6)
         .map(|_| {
             let mut client = node.client();
-            client.send("POST /correct/1", &common(LONG), &bytes(16 * MIB));
+            client.send("POST /correct/1", &common_headers(LONG), &bytes(16 * MIB));
             client
         })
         .collect();
-    until(|| backends.iter().all(|backend| backend.count() == 1), "all requests at backends");
+    wait_until(|| backends.iter().all(|backend| backend.request_count() == 1), "all requests at backends");
     for client in &mut clients {
-        assert_eq!(client.line(), "HTTP/1.1 200 OK\r\n");
+        assert_eq!(client.read_line(), "HTTP/1.1 200 OK\r\n");
     }
     // 192 MiB are under way, half of them unread.
-    assert!(node.peak() - before < 16 * MIB, "{} bytes", node.peak() - before);
+    assert!(node.peak_memory() - before < 16 * MIB, "{} bytes", node.peak_memory() - before);
     (0..6).for_each(|_| go.send(()).expect("a backend waits"));
 }
 
 #[test]
 fn a_connection_that_has_brought_a_long_answer_is_used_again() {
     let backend = Backend::start(|_| Reply::Answer("200 OK", "", bytes(MIB)));
-    let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let mut client = node.client();
     for _ in 0..5 {
-        assert_eq!(client.correct().body.len(), MIB);
-        assert_eq!(backend.request().0, 0, "the first connection");
+        assert_eq!(client.request_correct().body.len(), MIB);
+        assert_eq!(backend.next_request().0, 0, "the first connection");
     }
 }
 
@@ -116,10 +116,10 @@
                 let _ = stream.write_all(&[chunk.as_bytes(), &bytes(MIB)].concat());
             }))
         });
-        let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
+        let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
         let mut client = node.client();
         client.send_correct();
-        let all = client.rest();
+        let all = client.read_to_end();
         assert!(
             all.starts_with(b"HTTP/1.1 200 OK\r\n") && all.len() > MIB / 2,
             "{head}: {} bytes",
@@ -137,18 +137,18 @@
         let gate = gate.clone();
         Reply::Write(Box::new(move |stream| {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
-            let _ = gate.lock().expect("the gate").recv_timeout(PATIENCE);
+            let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
             let _ = stream.write_all(b"4\r\nlast\r\n0\r\n\r\n");
         }))
     });
-    let (node, _watch, _discovery) = serving(&settings(4000, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(4000, ""), &[&backend]);
     let mut client = node.client();
-    client.send("POST /correct/1", &common(4000), b"sheet");
-    while client.line() != "first\r\n" {}
+    client.send("POST /correct/1", &common_headers(4000), b"sheet");
+    while client.read_line() != "first\r\n" {}
     // Its time is over by now, or soon; it goes on all the same.
     std::thread::sleep(std::time::Duration::from_millis(2500));
     go.send(()).expect("the backend waits");
-    assert_eq!((client.line(), client.line()), ("4\r\n".to_owned(), "last\r\n".to_owned()));
+    assert_eq!((client.read_line(), client.read_line()), ("4\r\n".to_owned(), "last\r\n".to_owned()));
 }
 
 #[test]
@@ -166,12 +166,12 @@
         });
         address
     });
-    let (node, mut watch, _discovery) = serving(&settings(LONG, ""), &[]);
+    let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[]);
     let entries = addresses.map(|address| entry(&format!("s-{address}"), address, "in_service"));
-    watch.line(&list(9, true, &entries));
+    watch.send_line(&list(9, true, &entries));
     let mut client = node.client();
     // All of it can be sent: the answer comes over what nobody wants any more.
-    let answer = client.ask("POST /correct/1", &common(LONG), &bytes(8 * MIB));
+    let answer = client.request("POST /correct/1", &common_headers(LONG), &bytes(8 * MIB));
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("1.500")), "it never ran");
     assert_eq!(accepted.load(Ordering::SeqCst), 1);
     assert!(node.is_ready());
@@ -181,11 +181,11 @@
 fn a_long_request_is_sent_elsewhere_as_long_as_none_of_it_has_been() {
     let gone = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
-    let (node, mut watch, _discovery) = serving(&settings(LONG, ""), &[]);
+    let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[]);
     let entries = [entry("s-0", gone, "in_service"), entry("s-1", backend.address, "in_service")];
-    watch.line(&list(9, true, &entries));
+    watch.send_line(&list(9, true, &entries));
     for _ in 0..6 {
-        let answer = node.client().ask("POST /correct/1", &common(LONG), &bytes(MIB));
+        let answer = node.client().request("POST /correct/1", &common_headers(LONG), &bytes(MIB));
         assert_eq!((answer.status(), answer.body), (200, MIB.to_string().into_bytes()));
     }
 }
@@ -193,26 +193,26 @@
 #[test]
 fn a_client_that_falls_silent_in_a_body_is_told_so_and_its_request_never_runs() {
     let backend = Backend::start(|_| ok(""));
-    let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     for (sent, status) in [(9, 408), (200_000, 503)] {
         let mut client = node.client();
         let head =
-            format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: 300000\r\n\r\n", common(LONG));
+            format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: 300000\r\n\r\n", common_headers(LONG));
         client.write(&[head.as_bytes(), &bytes(sent)].concat());
         assert_eq!(client.answer().expect("an answer").status(), status, "{sent} bytes");
-        assert!(client.ended());
+        assert!(client.is_closed());
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
 fn the_time_of_a_request_begins_with_the_last_byte_of_its_body() {
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
     // Sending it takes longer than an answer may; no pause is long.
-    let (node, _watch, _discovery) = serving(&settings(3000, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(3000, ""), &[&backend]);
     let mut client = node.client();
     let head =
-        format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: 700000\r\n\r\n", common(3000));
+        format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: 700000\r\n\r\n", common_headers(3000));
     client.write(head.as_bytes());
     for piece in bytes(700_000).chunks(20_000) {
         client.write(piece);
@@ -224,13 +224,13 @@
 
 #[test]
 fn expectations_and_pipelines_are_met() {
-    let backend = Backend::start(|message| ok(&message.start));
-    let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
+    let backend = Backend::start(|message| ok(&message.start_line));
+    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let mut client = node.client();
     let head =
-        |path: &str| format!("POST {path} HTTP/1.1\r\nHost: a\r\n{}Content-Length: 5\r\n", common(LONG));
+        |path: &str| format!("POST {path} HTTP/1.1\r\nHost: a\r\n{}Content-Length: 5\r\n", common_headers(LONG));
     client.write(format!("{}Expect: 100-continue\r\n\r\n", head("/correct/waits")).as_bytes());
-    assert_eq!((client.line(), client.line()), ("HTTP/1.1 100 Continue\r\n".to_owned(), "\r\n".to_owned()));
+    assert_eq!((client.read_line(), client.read_line()), ("HTTP/1.1 100 Continue\r\n".to_owned(), "\r\n".to_owned()));
     client.write(b"sheet");
     assert_eq!(client.answer().expect("an answer").body, b"POST /correct/waits HTTP/1.1");
     // Both at once, the second a byte at a time.
@@ -245,7 +245,7 @@
 #[test]
 fn lengths_that_make_no_sense_are_told_so() {
     let backend = Backend::start(|_| ok(""));
-    let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     for lengths in [
         "Content-Length: 5\r\nContent-Length: 6\r\n",
         "Content-Length: -5\r\n",
@@ -253,18 +253,18 @@
         "Transfer-Encoding: chunked, gzip\r\n",
     ] {
         let mut client = node.client();
-        let head = format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}{lengths}\r\nsheet", common(LONG));
+        let head = format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}{lengths}\r\nsheet", common_headers(LONG));
         client.write(head.as_bytes());
         let status = client.answer().expect("an answer").status();
         assert!((400..500).contains(&status), "{lengths}: {status}");
-        assert!(client.ended(), "{lengths}");
+        assert!(client.is_closed(), "{lengths}");
     }
     // Chunks that are none.
     let mut client = node.client();
-    let head = format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}", common(LONG));
+    let head = format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}", common_headers(LONG));
     client.write(format!("{head}Transfer-Encoding: chunked\r\n\r\nfive\r\nsheet").as_bytes());
     assert_eq!(client.answer().expect("an answer").status(), 400);
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
@@ -274,7 +274,7 @@
     let backends = [0, 1].map(|_| {
         let gate = gate.clone();
         Backend::start(move |_| {
-            let _ = gate.lock().expect("the gate").recv_timeout(PATIENCE);
+            let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
             ok("fine")
         })
     });
@@ -283,26 +283,26 @@
     let config = config(discovery.address, &settings(LONG, ""), 1024)
         .replace(r#""memory_mb":192"#, r#""memory_mb":0"#);
     let node = Node::start(&config, "");
-    let mut watch = discovery.call();
+    let mut watch = discovery.next_call();
     watch.open();
     let entries =
         [entry("s-0", backends[0].address, "in_service"), entry("s-1", backends[1].address, "in_service")];
-    watch.line(&list(8, true, &entries));
-    until(|| node.is_ready(), "readiness");
-    let all = || backends.iter().map(Backend::count).sum::<usize>();
+    watch.send_line(&list(8, true, &entries));
+    wait_until(|| node.is_ready(), "readiness");
+    let all = || backends.iter().map(Backend::request_count).sum::<usize>();
     let (mut first, mut second, mut small) = (node.client(), node.client(), node.client());
-    first.send("POST /correct/1", &common(LONG), &bytes(60_000));
-    until(|| all() == 1, "the first at a backend");
-    second.send("POST /correct/2", &common(LONG), &bytes(60_000));
+    first.send("POST /correct/1", &common_headers(LONG), &bytes(60_000));
+    wait_until(|| all() == 1, "the first at a backend");
+    second.send("POST /correct/2", &common_headers(LONG), &bytes(60_000));
     // A small one needs no room, and comes by.
     small.send_correct();
-    until(|| all() == 2, "the small one at a backend");
+    wait_until(|| all() == 2, "the small one at a backend");
     go.send(()).and_then(|()| go.send(())).expect("the backends wait");
     assert_eq!(
         (first.answer().expect("an answer").status(), small.answer().expect("an answer").status()),
         (200, 200)
     );
-    until(|| all() == 3, "the second one at a backend");
+    wait_until(|| all() == 3, "the second one at a backend");
     go.send(()).expect("a backend waits");
     assert_eq!(second.answer().expect("an answer").status(), 200);
 }
--- a/tests/sockets/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,5 +1,5 @@
 //! A node under test, run as its users run it, and scripted peers round it: backends, discovery, clients.
-//! Everything waits for events; PATIENCE only ends a test that has gone wrong.
+//! Everything waits for events; TEST_TIMEOUT only ends a test that has gone wrong.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -12,20 +12,20 @@
 use std::thread::spawn;
 use std::time::{Duration, Instant};
 
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A message as a peer sees it.
 #[derive(Clone, Debug)]
 pub struct Message {
     /// Its first line.
-    pub start: String,
+    pub start_line: String,
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
     }
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
@@ -67,7 +67,7 @@
     } else {
         take(stream, headers.get("content-length").map_or(0, |length| length.parse().expect("a length")))?;
     }
-    Some(Message { start, headers, body })
+    Some(Message { start_line: start, headers, body })
 }
 
 // ---- Backends -----------------------------------------------------------------------------------
@@ -77,7 +77,7 @@
     /// A whole answer: status line after the version, headers, body.
     Answer(&'static str, &'static str, Vec<u8>),
     /// These bytes, and then the connection ends.
-    Break(Vec<u8>),
+    Close(Vec<u8>),
     /// Nothing, for as long as the node waits.
     Silence,
     /// What it writes itself, over which it may take its time; the connection ends then.
@@ -88,14 +88,14 @@
     Reply::Answer("200 OK", "", body.into())
 }
 
-pub enum Seen {
+pub enum BackendEvent {
     Request { connection: usize, message: Message },
     Closed { connection: usize },
 }
 
 pub struct Backend {
     pub address: SocketAddr,
-    seen: Receiver<Seen>,
+    seen: Receiver<BackendEvent>,
     pub requests: Arc<AtomicUsize>,
 }
 
@@ -116,30 +116,30 @@
         Backend { address, seen, requests }
     }
 
-    pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(PATIENCE).expect("something at the backend")
+    pub fn next_event(&self) -> BackendEvent {
+        self.seen.recv_timeout(TEST_TIMEOUT).expect("something at the backend")
     }
     /// The next request, and the number of its connection.
-    pub fn request(&self) -> (usize, Message) {
+    pub fn next_request(&self) -> (usize, Message) {
         loop {
-            if let Seen::Request { connection, message } = self.next() {
+            if let BackendEvent::Request { connection, message } = self.next_event() {
                 return (connection, message);
             }
         }
     }
     /// The number of the connection that ends next.
-    pub fn closed(&self) -> usize {
+    pub fn next_closed(&self) -> usize {
         loop {
-            if let Seen::Closed { connection } = self.next() {
+            if let BackendEvent::Closed { connection } = self.next_event() {
                 return connection;
             }
         }
     }
     /// Whether a connection has ended; passes over what came before that.
     pub fn has_closed(&self) -> bool {
-        self.seen.try_iter().any(|seen| matches!(seen, Seen::Closed { .. }))
+        self.seen.try_iter().any(|seen| matches!(seen, BackendEvent::Closed { .. }))
     }
-    pub fn count(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.requests.load(Ordering::SeqCst)
     }
 }
@@ -147,7 +147,7 @@
 fn serve(
     stream: TcpStream,
     connection: usize,
-    saw: &Sender<Seen>,
+    saw: &Sender<BackendEvent>,
     count: &AtomicUsize,
     script: &impl Fn(&Message) -> Reply,
 ) {
@@ -155,13 +155,13 @@
     let mut writer = stream;
     while let Some(message) = read_message(&mut reader) {
         count.fetch_add(1, Ordering::SeqCst);
-        let _ = saw.send(Seen::Request { connection, message: message.clone() });
+        let _ = saw.send(BackendEvent::Request { connection, message: message.clone() });
         match script(&message) {
             Reply::Answer(status, headers, body) => {
                 let head = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
                 let _ = writer.write_all(&[head.as_bytes(), &body].concat());
             }
-            Reply::Break(bytes) => {
+            Reply::Close(bytes) => {
                 let _ = writer.write_all(&bytes);
                 let _ = writer.shutdown(Shutdown::Both);
                 break;
@@ -174,7 +174,7 @@
             }
         }
     }
-    let _ = saw.send(Seen::Closed { connection });
+    let _ = saw.send(BackendEvent::Closed { connection });
 }
 
 // ---- Discovery ----------------------------------------------------------------------------------
@@ -187,14 +187,14 @@
 /// A call of the node's to discovery, answered by the test. Once it is open an empty line follows every half second, so
 /// that a slow machine's test does not fall silent, until it is to be `hushed`.
 pub struct Watch {
-    pub start: String,
+    pub start_line: String,
     stream: Arc<Mutex<TcpStream>>,
     hushed: Arc<AtomicBool>,
 }
 
 const BEAT: Duration = Duration::from_millis(500);
 
-pub fn chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
+pub fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
 }
 
@@ -211,7 +211,7 @@
                 let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
                 let Some(message) = read_message(&mut reader) else { continue };
                 let watch = Watch {
-                    start: message.start,
+                    start_line: message.start_line,
                     stream: Arc::new(Mutex::new(stream)),
                     hushed: Arc::default(),
                 };
@@ -222,19 +222,19 @@
         });
         Discovery { address, calls }
     }
-    pub fn call(&self) -> Watch {
-        self.calls.recv_timeout(PATIENCE).expect("a call to discovery")
+    pub fn next_call(&self) -> Watch {
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery")
     }
     /// Tells a node its list, and waits until that shows. A call that the node gave up meanwhile, on a busy machine, it
     /// makes again: that one is told the same.
-    pub fn informs(&self, line: &str, shows: impl Fn() -> bool, what: &str) -> Watch {
-        let mut watch = self.call();
+    pub fn send_list_until(&self, line: &str, shows: impl Fn() -> bool, what: &str) -> Watch {
+        let mut watch = self.next_call();
         let told = |watch: &Watch| {
-            watch.try_to(|stream| stream.write_all(OPEN.as_bytes()).and_then(|()| chunk(stream, line)));
-            watch.beat();
+            watch.try_with(|stream| stream.write_all(OPEN.as_bytes()).and_then(|()| write_chunk(stream, line)));
+            watch.start_heartbeat();
         };
         told(&watch);
-        until(
+        wait_until(
             || {
                 if let Ok(again) = self.calls.try_recv() {
                     watch = again;
@@ -247,13 +247,13 @@
         watch
     }
     /// Answers every call with this line from now on, those that nobody waits for any more as well.
-    pub fn tells(self, line: &str) {
+    pub fn answer_all_calls(self, line: &str) {
         let line = line.to_owned();
         spawn(move || {
             let mut open = Vec::new();
             for watch in self.calls {
-                watch.try_to(|stream| stream.write_all(OPEN.as_bytes()).and_then(|()| chunk(stream, &line)));
-                watch.beat();
+                watch.try_with(|stream| stream.write_all(OPEN.as_bytes()).and_then(|()| write_chunk(stream, &line)));
+                watch.start_heartbeat();
                 open.push(watch);
             }
         });
@@ -265,46 +265,46 @@
 impl Watch {
     pub fn open(&mut self) {
         self.write(OPEN);
-        self.beat();
+        self.start_heartbeat();
     }
-    pub fn line(&mut self, line: &str) {
-        self.chunk(&format!("{line}\n"));
+    pub fn send_line(&mut self, line: &str) {
+        self.send_chunk(&format!("{line}\n"));
     }
     /// Any piece of a line, or of several.
-    pub fn chunk(&mut self, text: &str) {
-        assert!(self.try_to(|stream| chunk(stream, text)), "the node listens to discovery");
+    pub fn send_chunk(&mut self, text: &str) {
+        assert!(self.try_with(|stream| write_chunk(stream, text)), "the node listens to discovery");
     }
     pub fn write(&mut self, text: &str) {
-        let wrote = self.try_to(|stream| stream.write_all(text.as_bytes()));
+        let wrote = self.try_with(|stream| stream.write_all(text.as_bytes()));
         assert!(wrote, "the node listens to discovery");
     }
     /// Nothing more comes by itself.
-    pub fn hush(&self) {
+    pub fn stop_heartbeat(&self) {
         let _stream = self.stream.lock().expect("the stream"); // nothing is on its way
         self.hushed.store(true, Ordering::SeqCst);
     }
     /// Ends the connection.
-    pub fn end(&self) {
-        self.try_to(|stream| stream.shutdown(Shutdown::Both));
+    pub fn close(&self) {
+        self.try_with(|stream| stream.shutdown(Shutdown::Both));
     }
     /// Resets it, if the test holds nothing else of it.
     pub fn reset(self) {
-        self.hush();
+        self.stop_heartbeat();
         let lingers_not = Some(Duration::ZERO);
-        self.try_to(|stream| Ok(rustix::net::sockopt::set_socket_linger(stream, lingers_not)?));
+        self.try_with(|stream| Ok(rustix::net::sockopt::set_socket_linger(stream, lingers_not)?));
     }
-    pub fn try_to(&self, act: impl FnOnce(&mut TcpStream) -> std::io::Result<()>) -> bool {
+    pub fn try_with(&self, act: impl FnOnce(&mut TcpStream) -> std::io::Result<()>) -> bool {
         act(&mut self.stream.lock().expect("the stream")).is_ok()
     }
     /// For as long as the test holds this.
-    pub fn beat(&self) {
+    pub fn start_heartbeat(&self) {
         let (stream, hushed) = (Arc::downgrade(&self.stream), self.hushed.clone());
         spawn(move || {
             loop {
                 std::thread::sleep(BEAT);
                 let Some(stream) = stream.upgrade() else { return };
                 let mut stream = stream.lock().expect("the stream");
-                if hushed.load(Ordering::SeqCst) || chunk(&mut stream, "\n").is_err() {
+                if hushed.load(Ordering::SeqCst) || write_chunk(&mut stream, "\n").is_err() {
                     return;
                 }
             }
@@ -414,29 +414,29 @@
     }
 
     pub fn is_ready(&self) -> bool {
-        self.client().ask("GET /health/ready", "", b"").status() == 200
+        self.client().request("GET /health/ready", "", b"").status() == 200
     }
 
     /// Waits until the log holds such a line, and returns it.
-    pub fn logged(&self, text: &str) -> String {
+    pub fn wait_for_log(&self, text: &str) -> String {
         let mut found = None;
         let mut find = || {
             found = self.log.lock().expect("the log").iter().find(|line| line.contains(text)).cloned();
             found.is_some()
         };
-        until(&mut find, text);
+        wait_until(&mut find, text);
         found.expect("just found")
     }
 
     /// Where it takes the operators' calls.
-    pub fn ops(&self) -> SocketAddr {
-        let line = self.logged("takes the operators' calls on");
+    pub fn ops_address(&self) -> SocketAddr {
+        let line = self.wait_for_log("takes the operators' calls on");
         line.rsplit(' ').next().and_then(|address| address.parse().ok()).expect("an address")
     }
 
     /// Makes a call of the operators': the status it is answered with.
-    pub fn call(&self, start: &str) -> u16 {
-        Client::connect(self.ops()).ask(start, "", b"").status()
+    pub fn ops_call(&self, start: &str) -> u16 {
+        Client::connect(self.ops_address()).request(start, "", b"").status()
     }
 
     pub fn terminate(&self) {
@@ -455,7 +455,7 @@
     }
 
     /// It gets no turn, until it does again.
-    pub fn stand_still(&self, still: bool) {
+    pub fn set_stopped(&self, still: bool) {
         self.signal(if still { "-STOP" } else { "-CONT" });
     }
 
@@ -465,13 +465,13 @@
     }
 
     /// Stops it as a machine does that gives it no turn, until it is to go on.
-    pub fn freeze(&self) {
+    pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         let stopped = || std::fs::read_to_string(&stat).is_ok_and(|stat| stat.contains(") T "));
-        until(stopped, "the node to stop");
+        wait_until(stopped, "the node to stop");
     }
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -481,25 +481,25 @@
     }
 
     /// How many descriptors it has open.
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("its descriptors").count()
     }
 
     /// What the system tells of it, under `/proc`.
-    pub fn system_file(&self, name: &str) -> String {
+    pub fn proc_file(&self, name: &str) -> String {
         std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).expect("its state")
     }
 
     /// The most memory that it has had, in bytes.
-    pub fn peak(&self) -> usize {
+    pub fn peak_memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its state");
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its memory");
         line.trim().trim_end_matches(" kB").parse::<usize>().expect("a number") * 1024
     }
 
-    pub fn exit(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until(
+        wait_until(
             || {
                 status = self.child.try_wait().expect("its state");
                 status.is_some()
@@ -520,9 +520,9 @@
 
 /// Waits until the kernel has delivered the ends of the connections from these ports to an address: on a busy machine they
 /// may lag behind the call that sent them.
-pub fn ends_have_come(ports: &[u16], to: SocketAddr) {
+pub fn wait_for_closes(ports: &[u16], to: SocketAddr) {
     const UNTOLD: [&str; 2] = ["01", "04"]; // established, or an end that is not acknowledged
-    until(
+    wait_until(
         || {
             let table = std::fs::read_to_string("/proc/net/tcp").expect("the connections");
             !table.lines().skip(1).any(|line| {
@@ -542,8 +542,8 @@
 }
 
 /// For what sends no event: looks again and again.
-pub fn until(mut holds: impl FnMut() -> bool, what: &str) {
-    let end = Instant::now() + PATIENCE;
+pub fn wait_until(mut holds: impl FnMut() -> bool, what: &str) {
+    let end = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "waited in vain for {what}");
         std::thread::sleep(Duration::from_millis(5));
@@ -551,11 +551,11 @@
 }
 
 /// A node whose list holds these backends, and the watch that told it.
-pub fn serving(settings: &str, backends: &[&Backend]) -> (Node, Watch, Discovery) {
-    serving_with(settings, backends, 1024, "")
+pub fn serving_node(settings: &str, backends: &[&Backend]) -> (Node, Watch, Discovery) {
+    serving_node_with(settings, backends, 1024, "")
 }
 
-pub fn serving_with(
+pub fn serving_node_with(
     settings: &str,
     backends: &[&Backend],
     sockets: usize,
@@ -566,7 +566,7 @@
     let node = Node::start(&config, shell);
     let entries = backends.iter().enumerate().map(|(i, b)| entry(&format!("s-{i}"), b.address, "in_service"));
     let line = list(8, true, &entries.collect::<Vec<_>>());
-    let watch = discovery.informs(&line, || node.is_ready(), "readiness");
+    let watch = discovery.send_list_until(&line, || node.is_ready(), "readiness");
     (node, watch, discovery)
 }
 
@@ -576,11 +576,11 @@
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Self {
-        Client::over(TcpStream::connect(address).expect("the node accepts"))
+        Client::from_stream(TcpStream::connect(address).expect("the node accepts"))
     }
     /// Over a connection that is open.
-    pub fn over(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    pub fn from_stream(stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Client(BufReader::new(stream))
     }
     /// Sends a request without a body; false if the connection has ended.
@@ -589,7 +589,7 @@
         self.0.get_mut().write_all(head.as_bytes()).is_ok()
     }
     /// The answer; nothing if the connection ends before its first byte, and an error if it does within it.
-    pub fn whole_answer(&mut self) -> Result<Option<Message>, String> {
+    pub fn try_answer(&mut self) -> Result<Option<Message>, String> {
         while self.0.fill_buf().is_err_and(|e| e.kind() == std::io::ErrorKind::Interrupted) {}
         match self.0.fill_buf() {
             Ok([]) => Ok(None),
@@ -608,48 +608,48 @@
     pub fn answer(&mut self) -> Option<Message> {
         read_message(&mut self.0)
     }
-    pub fn ask(&mut self, start: &str, headers: &str, body: &[u8]) -> Message {
+    pub fn request(&mut self, start: &str, headers: &str, body: &[u8]) -> Message {
         self.send(start, headers, body);
         self.answer().expect("an answer")
     }
-    pub fn read(&mut self) -> Message {
-        self.ask("GET /read/1f", &common(20_000), b"")
+    pub fn request_read(&mut self) -> Message {
+        self.request("GET /read/1f", &common_headers(20_000), b"")
     }
     pub fn send_correct(&mut self) {
-        self.send("POST /correct/1f", &common(20_000), b"sheet");
+        self.send("POST /correct/1f", &common_headers(20_000), b"sheet");
     }
-    pub fn correct(&mut self) -> Message {
+    pub fn request_correct(&mut self) -> Message {
         self.send_correct();
         self.answer().expect("an answer")
     }
     pub fn write(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).expect("the node reads");
     }
-    pub fn port(&self) -> u16 {
+    pub fn local_port(&self) -> u16 {
         self.0.get_ref().local_addr().expect("its address").port()
     }
     /// A second handle, to write by.
-    pub fn sender(&self) -> TcpStream {
+    pub fn write_handle(&self) -> TcpStream {
         self.0.get_ref().try_clone().expect("a handle")
     }
-    pub fn line(&mut self) -> String {
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).expect("a line");
         line
     }
     /// All that still comes, however that ends.
-    pub fn rest(&mut self) -> Vec<u8> {
+    pub fn read_to_end(&mut self) -> Vec<u8> {
         let mut all = Vec::new();
         let _ = self.0.read_to_end(&mut all);
         all
     }
     /// Whether the node has ended this connection.
-    pub fn ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         self.answer().is_none()
     }
 }
 
-pub fn common(budget_ms: u64) -> String {
+pub fn common_headers(budget_ms: u64) -> String {
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     format!("X-Call-Id: {number:016x}\r\nX-Caller: acme\r\nX-Budget-Ms: {budget_ms}\r\n")
 }
--- a/tests/lists/large.rs
+++ b/tests/lists/large.rs
@@ -22,21 +22,21 @@
     let discovery = Discovery::start();
     let node = Node::start(&with_ops(&config(discovery.address, &plain(), 1024)), "");
     let all = servers(SERVERS, &old);
-    let mut watch = discovery.informs(&list(8, true, &all), || node.is_ready(), "readiness");
-    assert_eq!(node.client().read().body, b"old");
+    let mut watch = discovery.send_list_until(&list(8, true, &all), || node.is_ready(), "readiness");
+    assert_eq!(node.client().request_read().body, b"old");
     // All but a few drain, in one value over 4 MiB; then a whole list has one server alone.
     let drains: Vec<_> =
         all[..40_000].iter().map(|entry| entry.replace("in_service", "terminating")).collect();
-    watch.line(&list(9, false, &drains));
+    watch.send_line(&list(9, false, &drains));
     let rest = [all[45_000].replace(&old.address.to_string(), &new.address.to_string())];
-    watch.line(&list(10, true, &rest));
-    until(|| node.client().read().body == b"new", "the list");
-    let before = old.count();
-    (0..10).for_each(|_| assert_eq!(node.client().correct().body, b"new"));
-    assert_eq!(old.count(), before);
+    watch.send_line(&list(10, true, &rest));
+    wait_until(|| node.client().request_read().body == b"new", "the list");
+    let before = old.request_count();
+    (0..10).for_each(|_| assert_eq!(node.client().request_correct().body, b"new"));
+    assert_eq!(old.request_count(), before);
     // It has the last version.
-    watch.end();
-    assert!(discovery.call().start.contains("index=10 "));
+    watch.close();
+    assert!(discovery.next_call().start_line.contains("index=10 "));
 }
 
 #[test]
@@ -45,30 +45,30 @@
     let small = |discovery| with_ops(&config(discovery, &plain(), 1024)).replace(":192", ":8");
     let discovery = Discovery::start();
     let node = Node::start(&small(discovery.address), "");
-    let mut watch = discovery.call();
+    let mut watch = discovery.next_call();
     watch.open();
     // Half of 8 MB, a kibibyte each. The node leaves in the middle of it.
     let (fits, over) = (servers(4_096, &backend), servers(20_000, &backend));
-    watch.try_to(|stream| chunk(stream, &list(8, true, &over)));
-    node.logged("the list has more than 4096 servers");
+    watch.try_with(|stream| write_chunk(stream, &list(8, true, &over)));
+    node.wait_for_log("the list has more than 4096 servers");
     assert!(node.has_logged("limits.memory_mb"));
     // It asks again by and by, and one that fits is taken.
-    let mut watch = discovery.call();
-    assert!(watch.start.contains("index=7 "), "nothing of it counts: {}", watch.start);
+    let mut watch = discovery.next_call();
+    assert!(watch.start_line.contains("index=7 "), "nothing of it counts: {}", watch.start_line);
     watch.open();
-    watch.line(&list(9, true, &fits));
-    until(|| node.is_ready(), "readiness");
-    assert_eq!(node.client().read().body, b"served");
+    watch.send_line(&list(9, true, &fits));
+    wait_until(|| node.is_ready(), "readiness");
+    assert_eq!(node.client().request_read().body, b"served");
 }
 
 // ---- Measured -----------------------------------------------------------------------------------
 
 /// Processor time in seconds, and memory in MB, now and at its peak.
 pub fn cost(node: &Node) -> (f64, f64, f64) {
-    let stat = node.system_file("stat");
+    let stat = node.proc_file("stat");
     let fields: Vec<_> = stat.rsplit(") ").next().expect("fields").split(' ').collect();
     let ticks = |at: usize| fields[at].parse::<f64>().expect("a number");
-    let status = node.system_file("status");
+    let status = node.proc_file("status");
     let memory = |name: &str| {
         let line = status.lines().find_map(|line| line.strip_prefix(name)).expect("its memory");
         line.trim().trim_end_matches(" kB").parse::<f64>().expect("a number") / 1024.0
@@ -88,7 +88,7 @@
                     sleep(Duration::from_millis(10 * i));
                     while !over.load(Ordering::SeqCst) {
                         let asked = Instant::now();
-                        client.read();
+                        client.request_read();
                         waits.push(asked.elapsed().as_secs_f64() * 1e3);
                         sleep(Duration::from_millis(80).saturating_sub(asked.elapsed()));
                     }
@@ -136,9 +136,9 @@
     let line = list(8, true, &all);
     let begun = Instant::now();
     let node = Node::start(&with_ops(&config(discovery.address, &plain(), 1024)), shell);
-    let mut watch = discovery.call();
+    let mut watch = discovery.next_call();
     watch.open();
-    watch.try_to(|stream| chunk(stream, &format!("{line}\n")));
+    watch.try_with(|stream| write_chunk(stream, &format!("{line}\n")));
     while !node.is_ready() {
         if begun.elapsed() > Duration::from_secs(12) {
             return println!("{count} servers: not ready in 12 s, processor {:.2} s", cost(&node).0);
@@ -158,7 +158,7 @@
     }
     // A program that refuses it leaves the watch.
     let tell = |watch: &Watch, version| {
-        watch.try_to(|stream| chunk(stream, &format!("{}\n", list(version, true, &all))));
+        watch.try_with(|stream| write_chunk(stream, &format!("{}\n", list(version, true, &all))));
     };
     told_of("with nothing new", &waits(&node, || sleep(Duration::from_secs(4))));
     // As many lists one after the other as take some seconds.
--- a/tests/lists/mod.rs
+++ b/tests/lists/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod large;
 
-use crate::sockets::*;
+use crate::harness::*;
 use rustix::net::{AddressFamily, SocketType, bind, listen, socket};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener};
 use std::time::{Duration, Instant};
@@ -37,24 +37,24 @@
 impl Two {
     fn start(settings: &str) -> Self {
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-        let (node, watch, discovery) = serving(settings, &[&old]);
-        assert_eq!(node.client().read().body, b"old");
+        let (node, watch, discovery) = serving_node(settings, &[&old]);
+        assert_eq!(node.client().request_read().body, b"old");
         Two { old, new, node, watch, discovery }
     }
     /// The node sends to the second one alone from now on.
     fn has_left(&self) {
-        until(|| self.node.client().read().body == b"new", "the list");
-        let before = self.old.count();
+        wait_until(|| self.node.client().request_read().body == b"new", "the list");
+        let before = self.old.request_count();
         for _ in 0..10 {
-            assert_eq!(self.node.client().correct().body, b"new");
+            assert_eq!(self.node.client().request_correct().body, b"new");
         }
-        assert_eq!(self.old.count(), before);
+        assert_eq!(self.old.request_count(), before);
     }
     /// The next call is told that the first one stops.
     fn tell(&self, mut watch: Watch) {
-        assert!(watch.start.contains("index=8 "), "from the list it has: {}", watch.start);
+        assert!(watch.start_line.contains("index=8 "), "from the list it has: {}", watch.start_line);
         watch.open();
-        watch.line(&drained(self.old.address, self.new.address));
+        watch.send_line(&drained(self.old.address, self.new.address));
         self.has_left();
     }
 }
@@ -73,23 +73,23 @@
 fn the_third_watch_tells_what_two_silent_ones_have_missed() {
     let play = |second: usize| {
         let two = Two::start(&plain());
-        two.watch.hush();
+        two.watch.stop_heartbeat();
         let silent = Instant::now();
-        let mut watch = two.discovery.call();
+        let mut watch = two.discovery.next_call();
         let line = drained(two.old.address, two.new.address);
         match second {
             0 => {}
             1 => {
                 watch.open();
-                watch.hush();
+                watch.stop_heartbeat();
             }
             // Empty lines go on, and the rest never comes.
             _ => {
                 watch.open();
-                watch.chunk(&line[..line.len() / 2]);
+                watch.send_chunk(&line[..line.len() / 2]);
             }
         }
-        let third = two.discovery.call();
+        let third = two.discovery.next_call();
         assert!(silent.elapsed() < Duration::from_secs(8), "case {second}: {:?}", silent.elapsed());
         two.tell(third);
         drop(watch);
@@ -103,22 +103,22 @@
 #[test]
 fn an_agent_that_returns_with_an_older_list_undoes_no_drain() {
     let mut two = Two::start(&plain());
-    two.watch.line(&drained(two.old.address, two.new.address));
+    two.watch.send_line(&drained(two.old.address, two.new.address));
     two.has_left();
-    two.watch.hush();
-    let mut watch = two.discovery.call();
+    two.watch.stop_heartbeat();
+    let mut watch = two.discovery.next_call();
     watch.open();
-    watch.line(&list(8, true, &[entry("s-0", two.old.address, "in_service")]));
-    two.node.logged("an older list was refused: version 8 after 9");
-    let before = two.old.count();
+    watch.send_line(&list(8, true, &[entry("s-0", two.old.address, "in_service")]));
+    two.node.wait_for_log("an older list was refused: version 8 after 9");
+    let before = two.old.request_count();
     for _ in 0..10 {
-        assert_eq!(two.node.client().correct().body, b"new");
+        assert_eq!(two.node.client().request_correct().body, b"new");
     }
-    assert_eq!(two.old.count(), before);
+    assert_eq!(two.old.request_count(), before);
     // It has caught up.
-    watch.line(&list(10, false, &[entry("s-0", two.old.address, "in_service")]));
-    watch.line(&list(11, false, &[entry("s-1", two.new.address, "terminated")]));
-    until(|| two.node.client().read().body == b"old", "what is newer to be believed");
+    watch.send_line(&list(10, false, &[entry("s-0", two.old.address, "in_service")]));
+    watch.send_line(&list(11, false, &[entry("s-1", two.new.address, "terminated")]));
+    wait_until(|| two.node.client().request_read().body == b"old", "what is newer to be believed");
 }
 
 // ---- Moves --------------------------------------------------------------------------------------
@@ -131,16 +131,16 @@
         for ended in [false, true] {
             let two = Two::start(&first);
             two.node.reload(&with_ops(&config(two.discovery.address, &then, 1024)));
-            two.node.logged("told to look again");
-            two.watch.hush();
+            two.node.wait_for_log("told to look again");
+            two.watch.stop_heartbeat();
             if ended {
-                two.watch.end();
-                two.node.logged("the watch broke");
+                two.watch.close();
+                two.node.wait_for_log("the watch broke");
             }
             let after = Discovery::start();
             let moved = Instant::now();
             two.node.reload(&with_ops(&config(after.address, &then, 1024)));
-            let watch = after.call();
+            let watch = after.next_call();
             assert!(moved.elapsed() < Duration::from_secs(4), "{ended}: {:?}", moved.elapsed());
             two.tell(watch);
         }
@@ -165,35 +165,35 @@
         }
         let text = knowing(&config(address, &plain(), 1024), &old);
         let node = Node::start(&text, "");
-        until(|| node.is_ready(), "readiness");
-        assert_eq!(node.client().read().body, b"old");
-        node.logged("the watch broke");
+        wait_until(|| node.is_ready(), "readiness");
+        assert_eq!(node.client().request_read().body, b"old");
+        node.wait_for_log("the watch broke");
         if refuses {
             listen(&place, 64).expect("calls are taken");
         }
-        Discovery::on(place).tells(&drained(old.address, new.address));
-        until(|| node.client().read().body == b"new", "the list");
+        Discovery::on(place).answer_all_calls(&drained(old.address, new.address));
+        wait_until(|| node.client().request_read().body == b"new", "the list");
         // Its successor knows the same old list, and is told at once.
         drop(node);
         let node = Node::start(&text, "");
-        until(|| node.is_ready(), "readiness");
-        until(|| node.client().correct().body == b"new", "the list");
-        let before = old.count();
+        wait_until(|| node.is_ready(), "readiness");
+        wait_until(|| node.client().request_correct().body == b"new", "the list");
+        let before = old.request_count();
         for _ in 0..5 {
-            assert_eq!(node.client().correct().body, b"new");
+            assert_eq!(node.client().request_correct().body, b"new");
         }
-        assert_eq!(old.count(), before);
+        assert_eq!(old.request_count(), before);
     }
 }
 
 #[test]
 fn a_drain_is_heard_when_the_watch_was_down_meanwhile() {
     let two = Two::start(&plain());
-    two.watch.end();
+    two.watch.close();
     // It breaks off calls for a while.
-    (0..5).for_each(|_| drop(two.discovery.call()));
-    assert_eq!(two.node.client().read().body, b"old");
-    two.tell(two.discovery.call());
+    (0..5).for_each(|_| drop(two.discovery.next_call()));
+    assert_eq!(two.node.client().request_read().body, b"old");
+    two.tell(two.discovery.next_call());
 }
 
 // ---- Forms --------------------------------------------------------------------------------------
@@ -205,20 +205,20 @@
     type Form = fn(&mut Watch, &str, &dyn Fn(&str, &str) -> String);
     let forms: [Form; 4] = [
         // Indented.
-        |watch, line, white| watch.chunk(&(white(line, "\n    ") + "\n")),
+        |watch, line, white| watch.send_chunk(&(white(line, "\n    ") + "\n")),
         // White space of every kind, empty lines within and round it.
-        |watch, line, white| watch.chunk(&format!("\n\r\n \t{}\n\n", white(line, "\r\n\n\t "))),
+        |watch, line, white| watch.send_chunk(&format!("\n\r\n \t{}\n\n", white(line, "\r\n\n\t "))),
         // In pieces of a byte, with empty lines between.
         |watch, line, white| {
-            white(line, "\n").chars().for_each(|char| watch.chunk(&char.to_string()));
-            watch.chunk("\n");
+            white(line, "\n").chars().for_each(|char| watch.send_chunk(&char.to_string()));
+            watch.send_chunk("\n");
         },
         // After a line that was cut short.
-        |watch, line, _| watch.chunk(&format!("{{\"index\":9,\n{line}\n")),
+        |watch, line, _| watch.send_chunk(&format!("{{\"index\":9,\n{line}\n")),
     ];
     for (i, form) in forms.iter().enumerate() {
         let mut two = Two::start(&plain());
-        two.watch.hush(); // an empty line within a name would break it
+        two.watch.stop_heartbeat(); // an empty line within a name would break it
         form(&mut two.watch, &drained(two.old.address, two.new.address), &white);
         two.has_left();
         eprintln!("form {i} counts");
--- a/tests/members/mod.rs
+++ b/tests/members/mod.rs
@@ -1,6 +1,6 @@
 //! Membership by addresses that all see alike: real nodes over UDP, their saved members, and a flood.
 
-use crate::sockets::*;
+use crate::harness::*;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -43,12 +43,12 @@
 }
 
 fn hears(node: &Node) -> SocketAddr {
-    let line = node.logged("hears its peers on");
+    let line = node.wait_for_log("hears its peers on");
     line.rsplit(' ').next().and_then(|address| address.parse().ok()).expect("an address")
 }
 
 fn view(node: &Node) -> String {
-    String::from_utf8(Client::connect(node.ops()).ask("GET /members", "", b"").body).expect("text")
+    String::from_utf8(Client::connect(node.ops_address()).request("GET /members", "", b"").body).expect("text")
 }
 
 fn holds(node: &Node, members: usize) -> bool {
@@ -66,13 +66,13 @@
     let others: Vec<_> = (1..3).map(|node| member(node, "127.0.0.1:0", &[seed], &saved[node])).collect();
     let at = hears(&others[0]);
     let all: Vec<_> = [first].into_iter().chain(others).collect();
-    until(|| all.iter().all(|node| holds(node, 3)), "one view");
+    wait_until(|| all.iter().all(|node| holds(node, 3)), "one view");
     // Each has written the other two.
     let written = |path: &PathBuf| {
         let text = std::fs::read_to_string(path).unwrap_or_default();
         text.matches("Socket").count() == 2
     };
-    until(|| saved.iter().all(written), "saved members");
+    wait_until(|| saved.iter().all(written), "saved members");
     drop(all);
     let text = std::fs::read_to_string(&saved[0]).expect("a file");
     std::fs::write(&saved[0], &text[..text.len() - 9]).expect("a file");
@@ -81,9 +81,9 @@
         member(1, &at.to_string(), &[], &saved[1]),
         member(2, "127.0.0.1:0", &[], &saved[2]),
     ];
-    again[0].logged("its checksum does not fit");
-    again[1].logged("2 saved members");
-    until(|| again.iter().all(|node| holds(node, 3)), "one view again");
+    again[0].wait_for_log("its checksum does not fit");
+    again[1].wait_for_log("2 saved members");
+    wait_until(|| again.iter().all(|node| holds(node, 3)), "one view again");
 }
 
 /// Datagrams of no cluster come faster than they can be read: the node still probes, and finds that another has died.
@@ -93,7 +93,7 @@
     let first = member(0, "127.0.0.1:0", &[], &folder.saved(0));
     let to = hears(&first);
     let second = member(1, "127.0.0.1:0", &[to], &folder.saved(1));
-    until(|| holds(&first, 2) && holds(&second, 2), "one view");
+    wait_until(|| holds(&first, 2) && holds(&second, 2), "one view");
     let over = Arc::new(AtomicBool::new(false));
     let flood = || {
         let over = over.clone();
@@ -109,9 +109,9 @@
         })
     };
     let floods = [(); 5].map(|()| flood());
-    until(|| view(&first).contains("not a datagram of this kind"), "the flood to be counted");
+    wait_until(|| view(&first).contains("not a datagram of this kind"), "the flood to be counted");
     drop(second);
-    until(|| view(&first).contains("\"cause\":\"failed\""), "a death to be found");
+    wait_until(|| view(&first).contains("\"cause\":\"failed\""), "a death to be found");
     over.store(true, Ordering::Relaxed);
     floods.into_iter().for_each(|flood| flood.join().expect("a flood that ends"));
 }
--- a/tests/zonal/mod.rs
+++ b/tests/node_zones/mod.rs
@@ -1,13 +1,13 @@
 //! A node that goes by zones, over loopback sockets: what its staff see and order, and what outlasts a SIGHUP.
 
-use crate::sockets::*;
+use crate::harness::*;
 use std::time::Duration;
 
 const ZONES: &str = r#"{"zones":{"regions":{"north":["a","b"]},"latency_ms":{"b":1.5},"return_s":10},"#;
 
 /// The answer to a call of the staff's.
 fn call(node: &Node, start: &str) -> (u16, String) {
-    let answer = Client::connect(node.ops()).ask(start, "", b"");
+    let answer = Client::connect(node.ops_address()).request(start, "", b"");
     (answer.status(), String::from_utf8(answer.body).expect("text"))
 }
 
@@ -21,16 +21,16 @@
     let discovery = Discovery::start();
     let config = configured(discovery.address, zones);
     let node = Node::start(&config, "");
-    let mut watch = discovery.call();
+    let mut watch = discovery.next_call();
     watch.open();
     let far = entry("s1", backends[1].address, "in_service").replace(r#""zone":"a""#, r#""zone":"b""#);
-    watch.line(&list(8, true, &[entry("s0", backends[0].address, "in_service"), far]));
-    until(|| node.is_ready(), "a list");
+    watch.send_line(&list(8, true, &[entry("s0", backends[0].address, "in_service"), far]));
+    wait_until(|| node.is_ready(), "a list");
     (node, backends, watch, discovery)
 }
 
 fn served(node: &Node) -> String {
-    let answer = node.client().ask("GET /read/1f", &common(5000), b"");
+    let answer = node.client().request("GET /read/1f", &common_headers(5000), b"");
     assert_eq!(answer.status(), 200);
     String::from_utf8(answer.body).expect("text")
 }
@@ -49,25 +49,25 @@
     assert_eq!(call(&node, "GET /zones/a/evacuate").0, 405);
     let (status, zones) = call(&node, "POST /zones/a/evacuate?for_s=600");
     assert!(status == 200 && zones.contains(r#""standing":"evacuated""#), "{zones}");
-    node.logged("Evacuated after Sound");
-    until(|| served(&node) == "far" && served(&node) == "far" && served(&node) == "far", "the other zone");
+    node.wait_for_log("Evacuated after Sound");
+    wait_until(|| served(&node) == "far" && served(&node) == "far" && served(&node) == "far", "the other zone");
     assert_eq!(call(&node, "POST /zones/b/evacuate").0, 409, "the last zone that works");
     // New settings change nothing of it.
     let again = configured(discovery.address, ZONES);
     node.reload(&again.replace("\"GiveUp\":1000", "\"GiveUp\":1100"));
-    node.logged("told to look again: discovery is at");
+    node.wait_for_log("told to look again: discovery is at");
     let (_, zones) = call(&node, "GET /zones");
     assert!(zones.contains(r#""standing":"evacuated""#), "{zones}");
     let (status, zones) = call(&node, "POST /zones/a/restore");
     assert!(status == 200 && !zones.contains("evacuated\""), "{zones}");
-    until(|| served(&node) == "near", "the own zone");
+    wait_until(|| served(&node) == "near", "the own zone");
 }
 
 #[test]
 fn an_evacuation_ends_by_itself() {
     let (node, _backends, _watch, _discovery) = two_zones(ZONES);
     assert_eq!(call(&node, "POST /zones/a/evacuate?for_s=1").0, 200);
-    until(
+    wait_until(
         || {
             std::thread::sleep(Duration::from_millis(50));
             served(&node); // a node that has nothing to do looks at nothing
@@ -75,7 +75,7 @@
         },
         "its end",
     );
-    node.logged("Returning after Evacuated");
+    node.wait_for_log("Returning after Evacuated");
 }
 
 #[test]
--- a/tests/operations/mod.rs
+++ b/tests/operations/mod.rs
@@ -1,6 +1,6 @@
 //! The node in the hands of its staff: the operations address, drains, new settings, upgrades.
 
-use crate::sockets::*;
+use crate::harness::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,11 +16,11 @@
 fn the_status_is_yes_once_the_node_has_a_list_and_other_calls_are_told_what_is_wrong() {
     let discovery = Discovery::start();
     let node = Node::start(&with_ops(&config(discovery.address, &settings(LONG, ""), 1024)), "");
-    let mut watch = discovery.call();
-    assert_eq!(node.call("GET /status"), 503, "it has no list");
+    let mut watch = discovery.next_call();
+    assert_eq!(node.ops_call("GET /status"), 503, "it has no list");
     watch.open();
-    watch.line(&list(8, true, &[]));
-    until(|| node.call("GET /status") == 200, "a yes");
+    watch.send_line(&list(8, true, &[]));
+    wait_until(|| node.ops_call("GET /status") == 200, "a yes");
     for (call, status) in [
         ("GET /", 404),
         ("GET /status/", 404),
@@ -30,33 +30,33 @@
         ("GET /standby", 405),
         ("DELETE /active", 405),
     ] {
-        assert_eq!(node.call(call), status, "{call}");
+        assert_eq!(node.ops_call(call), status, "{call}");
     }
-    let mut long = Client::connect(node.ops());
-    assert_eq!(long.ask("POST /standby", "", &[b'x'; 5000]).status(), 400);
+    let mut long = Client::connect(node.ops_address());
+    assert_eq!(long.request("POST /standby", "", &[b'x'; 5000]).status(), 400);
     assert!(node.is_ready(), "nothing of that has changed anything");
-    let mut once = Client::connect(node.ops());
-    assert_eq!(once.ask("GET /status", "", b"").header("connection"), Some("close"));
-    assert!(once.ended(), "one call to a connection");
+    let mut once = Client::connect(node.ops_address());
+    assert_eq!(once.request("GET /status", "", b"").header("connection"), Some("close"));
+    assert!(once.is_closed(), "one call to a connection");
 }
 
 #[test]
 fn silent_and_half_calls_delay_no_good_one_and_are_sent_off() {
-    let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[]);
-    let address = node.ops();
+    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[]);
+    let address = node.ops_address();
     let mut stuck: Vec<_> = ["", "POST /stan", "POST /standby HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"]
         .iter()
         .cycle()
         .take(60)
         .map(|sends| {
             let mut stream = TcpStream::connect(address).expect("the node accepts");
-            stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
             stream.write_all(sends.as_bytes()).expect("the node reads");
             stream
         })
         .collect();
     for _ in 0..20 {
-        assert_eq!(node.call("GET /status"), 200);
+        assert_eq!(node.ops_call("GET /status"), 200);
     }
     assert!(node.is_ready(), "half a call drains nothing");
     for stream in &mut stuck {
@@ -71,12 +71,12 @@
 fn without_an_operations_address_the_node_runs_as_before() {
     let discovery = Discovery::start();
     let node = Node::start(&config(discovery.address, &settings(LONG, ""), 1024), "");
-    let mut watch = discovery.call();
+    let mut watch = discovery.next_call();
     watch.open();
-    watch.line(&list(8, true, &[]));
-    until(|| node.is_ready(), "readiness");
+    watch.send_line(&list(8, true, &[]));
+    wait_until(|| node.is_ready(), "readiness");
     // Its calls mean nothing on the clients' address.
-    assert_eq!(node.client().ask("POST /standby", "", b"").status(), 404);
+    assert_eq!(node.client().request("POST /standby", "", b"").status(), 404);
     assert!(node.is_ready());
 }
 
@@ -87,53 +87,53 @@
     let (go, gate) = channel::<()>();
     let gate = Arc::new(Mutex::new(gate));
     let backend = Backend::start(move |_| {
-        let _ = gate.lock().expect("the gate").recv_timeout(PATIENCE);
+        let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
         ok("held")
     });
-    let (mut node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
+    let (mut node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let (mut held, mut idle, mut fresh) = (node.client(), node.client(), node.client());
-    assert_eq!(idle.ask("GET /health/ready", "", b"").header("connection"), None);
+    assert_eq!(idle.request("GET /health/ready", "", b"").header("connection"), None);
     held.send_correct();
-    until(|| backend.count() == 1, "the request at a backend");
+    wait_until(|| backend.request_count() == 1, "the request at a backend");
     for _ in 0..3 {
-        assert_eq!(node.call("POST /standby"), 200);
+        assert_eq!(node.ops_call("POST /standby"), 200);
         assert!(!node.is_ready());
     }
-    assert_eq!(node.call("GET /status"), 200, "it can serve all the same");
+    assert_eq!(node.ops_call("GET /status"), 200, "it can serve all the same");
     // Whoever waits for an answer gets it, and goes; so does who has nothing to ask.
-    assert!(idle.ended() && fresh.ended());
+    assert!(idle.is_closed() && fresh.is_closed());
     go.send(()).expect("the backend waits");
     let answer = held.answer().expect("what was taken is answered");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(held.ended());
+    assert!(held.is_closed());
     for _ in 0..2 {
-        assert_eq!(node.call("POST /active"), 200);
+        assert_eq!(node.ops_call("POST /active"), 200);
         assert!(node.is_ready());
     }
     go.send(()).expect("the backend waits");
     let mut back = node.client();
-    let answer = back.correct();
+    let answer = back.request_correct();
     assert_eq!((answer.status(), answer.header("connection")), (200, None));
 
     // On its way out it can't be called back.
     back.send_correct();
-    until(|| backend.count() == 3, "the request at a backend");
+    wait_until(|| backend.request_count() == 3, "the request at a backend");
     node.terminate();
-    node.logged("told to stop");
-    assert_eq!((node.call("POST /active"), node.call("POST /standby")), (409, 200));
+    node.wait_for_log("told to stop");
+    assert_eq!((node.ops_call("POST /active"), node.ops_call("POST /standby")), (409, 200));
     assert!(!node.is_ready());
-    assert_eq!(node.call("GET /status"), 503);
+    assert_eq!(node.ops_call("GET /status"), 503);
     go.send(()).expect("the backend waits");
     assert_eq!(back.answer().expect("an answer").header("connection"), Some("close"));
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
 #[test]
 fn what_has_not_come_whole_soon_after_a_node_is_told_to_stop_is_let_go_with_an_answer() {
     let backend = Backend::start(|_| ok("fine"));
-    let (mut node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
+    let (mut node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let head = |length: usize| {
-        format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: {length}\r\n\r\n", common(LONG))
+        format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: {length}\r\n\r\n", common_headers(LONG))
     };
     let over = Arc::new(AtomicBool::new(false));
     // Both go on sending for as long as they may: one kept whole, one that has begun to pass through.
@@ -142,7 +142,7 @@
         .map(|(sent, length)| {
             let mut client = node.client();
             client.write(&[head(length).as_bytes(), &vec![b'x'; sent]].concat());
-            let (mut sender, over) = (client.sender(), over.clone());
+            let (mut sender, over) = (client.write_handle(), over.clone());
             spawn(move || {
                 while !over.load(Ordering::SeqCst) && sender.write_all(b"x").is_ok() {
                     std::thread::sleep(std::time::Duration::from_millis(20));
@@ -154,17 +154,17 @@
     let mut half = node.client();
     half.write(b"POST /corr");
     // All of that has come when a later request is answered.
-    assert_eq!(node.client().ask("GET /health/ready", "", b"").status(), 200);
+    assert_eq!(node.client().request("GET /health/ready", "", b"").status(), 200);
     node.terminate();
     for client in &mut slow {
         let answer = client.answer().expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
     }
-    assert!(half.ended());
+    assert!(half.is_closed());
     over.store(true, Ordering::SeqCst);
     drop(slow);
-    assert_eq!(node.exit().code(), Some(0));
-    assert_eq!(backend.count(), 0);
+    assert_eq!(node.wait_for_exit().code(), Some(0));
+    assert_eq!(backend.request_count(), 0);
 }
 
 // ---- New settings -------------------------------------------------------------------------------
@@ -177,19 +177,19 @@
     let backends = [0, 1, 2].map(|_| {
         let gates = gates.clone();
         Backend::start(move |message| {
-            let gate = gates.iter().find(|(path, _)| message.start.contains(path));
+            let gate = gates.iter().find(|(path, _)| message.start_line.contains(path));
             let Some((_, gate)) = gate else { return ok("fine") };
-            let _ = gate.lock().expect("the gate").recv_timeout(PATIENCE);
+            let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
             Reply::Answer("500 Oops", "", vec![])
         })
     });
-    let all = || backends.iter().map(Backend::count).sum::<usize>();
+    let all = || backends.iter().map(Backend::request_count).sum::<usize>();
     let before = settings(LONG, "");
-    let (node, _watch, discovery) = serving(&before, &backends.each_ref());
+    let (node, _watch, discovery) = serving_node(&before, &backends.each_ref());
     let (mut safe, mut once) = (node.client(), node.client());
-    safe.send("GET /read/hold", &common(LONG), b"");
-    once.send("POST /correct/hold", &common(LONG), b"sheet");
-    until(|| all() == 2, "both requests at backends");
+    safe.send("GET /read/hold", &common_headers(LONG), b"");
+    once.send("POST /correct/hold", &common_headers(LONG), b"sheet");
+    wait_until(|| all() == 2, "both requests at backends");
 
     // `read` is no longer safe, `correct` is dropped, `count` is new and comes first, and one attempt is left.
     let class = |name: &str, kind: &str| {
@@ -204,12 +204,12 @@
     let after = format!(r#"{}"Classes":[{classes}]{}"#, &before[..start], &before[end..]);
     let after = after.replace(r#""AttemptsCap":3"#, r#""AttemptsCap":1"#);
     node.reload(&with_ops(&config(discovery.address, &after, 1024)));
-    node.logged("classes are count, submit, read");
+    node.wait_for_log("classes are count, submit, read");
     let mut client = node.client();
-    assert_eq!(client.ask("GET /count/1", &common(LONG), b"").body, b"fine");
-    assert_eq!(client.ask("GET /read/1", &common(LONG), b"").status(), 405);
-    assert_eq!(client.ask("POST /read/1", &common(LONG), b"").body, b"fine");
-    assert_eq!(client.ask("POST /correct/1", &common(LONG), b"").status(), 404);
+    assert_eq!(client.request("GET /count/1", &common_headers(LONG), b"").body, b"fine");
+    assert_eq!(client.request("GET /read/1", &common_headers(LONG), b"").status(), 405);
+    assert_eq!(client.request("POST /read/1", &common_headers(LONG), b"").body, b"fine");
+    assert_eq!(client.request("POST /correct/1", &common_headers(LONG), b"").status(), 404);
 
     // What was open: `read` may be sent to the two others too, `correct` to nobody.
     let served = all();
@@ -224,7 +224,7 @@
 #[test]
 fn a_file_that_is_no_good_changes_nothing_and_a_good_one_after_it_is_taken() {
     let backend = Backend::start(|_| ok("fine"));
-    let (node, _watch, discovery) = serving(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let good = with_ops(&config(discovery.address, &settings(LONG, ""), 1024).replace("correct", "amend"));
     let deadline = format!(r#""GiveUp":{LONG}"#);
     let moved = Discovery::start();
@@ -242,14 +242,14 @@
     ];
     for (file, why) in &bad {
         node.reload(file);
-        assert!(node.logged(why).contains("all stays as it was"), "{why}");
-        assert_eq!(node.client().correct().body, b"fine");
-        assert_eq!(node.client().ask("POST /amend/1", &common(LONG), b"").status(), 404);
+        assert!(node.wait_for_log(why).contains("all stays as it was"), "{why}");
+        assert_eq!(node.client().request_correct().body, b"fine");
+        assert_eq!(node.client().request("POST /amend/1", &common_headers(LONG), b"").status(), 404);
     }
     node.reload(&good.replace(&discovery.address.to_string(), &moved.address.to_string()));
-    assert!(moved.call().start.contains("index=8 "), "both at once");
-    assert_eq!(node.client().ask("POST /amend/1", &common(LONG), b"").body, b"fine");
-    assert_eq!(node.client().ask("POST /correct/1", &common(LONG), b"").status(), 404);
+    assert!(moved.next_call().start_line.contains("index=8 "), "both at once");
+    assert_eq!(node.client().request("POST /amend/1", &common_headers(LONG), b"").body, b"fine");
+    assert_eq!(node.client().request("POST /correct/1", &common_headers(LONG), b"").status(), 404);
 }
 
 // ---- Upgrades -----------------------------------------------------------------------------------
@@ -257,7 +257,7 @@
 #[test]
 fn a_process_started_beside_one_that_serves_takes_over_and_no_request_is_lost() {
     let backend = Backend::start(|_| ok("fine"));
-    let (mut old, _watch, discovery) = serving(&settings(LONG, ""), &[&backend]);
+    let (mut old, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let address = old.address;
     let config = with_ops(&config(discovery.address, &settings(LONG, ""), 1024));
     let config = config.replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{address}""#));
@@ -270,7 +270,7 @@
             let mut client = None;
             while !over.load(Ordering::SeqCst) {
                 let mut one = client.take().unwrap_or_else(|| Client::connect(address));
-                let answer = one.read();
+                let answer = one.request_read();
                 // A node that has just started refuses what it would have to send to a crowded backend.
                 assert!([200, 503].contains(&answer.status()), "{answer:?}");
                 let goes = answer.headers.get("connection").is_some_and(|value| value == "close");
@@ -282,30 +282,30 @@
 
     let mut new = Node::start_in(&old.tmp, &config, "");
     assert_eq!(new.address, address);
-    let mut watch = discovery.call();
-    assert_eq!(new.call("GET /status"), 503, "it has no list, and leaves the clients to the other");
+    let mut watch = discovery.next_call();
+    assert_eq!(new.ops_call("GET /status"), 503, "it has no list, and leaves the clients to the other");
     watch.open();
-    watch.line(&list(8, true, &[entry("s-0", backend.address, "in_service")]));
-    until(|| new.call("GET /status") == 200, "a yes");
+    watch.send_line(&list(8, true, &[entry("s-0", backend.address, "in_service")]));
+    wait_until(|| new.ops_call("GET /status") == 200, "a yes");
     old.terminate();
-    assert_eq!(old.exit().code(), Some(0));
-    new.logged("the process before this one has gone");
+    assert_eq!(old.wait_for_exit().code(), Some(0));
+    new.wait_for_log("the process before this one has gone");
     // And once more: the successor has one too.
     let mut third = Node::start_in(&old.tmp, &config, "");
-    let mut watch = discovery.call();
+    let mut watch = discovery.next_call();
     watch.open();
-    watch.line(&list(8, true, &[entry("s-0", backend.address, "in_service")]));
-    until(|| third.call("GET /status") == 200, "a yes");
+    watch.send_line(&list(8, true, &[entry("s-0", backend.address, "in_service")]));
+    wait_until(|| third.ops_call("GET /status") == 200, "a yes");
     new.terminate();
-    assert_eq!(new.exit().code(), Some(0));
-    let served = backend.count();
-    until(|| backend.count() > served + 50, "service by the last one");
+    assert_eq!(new.wait_for_exit().code(), Some(0));
+    let served = backend.request_count();
+    wait_until(|| backend.request_count() > served + 50, "service by the last one");
     over.store(true, Ordering::SeqCst);
     for client in clients {
         client.join().expect("every request is answered");
     }
     third.terminate();
-    assert_eq!(third.exit().code(), Some(0));
+    assert_eq!(third.wait_for_exit().code(), Some(0));
 }
 
 #[test]
@@ -313,16 +313,16 @@
     let discovery = Discovery::start();
     let config = with_ops(&config(discovery.address, &settings(LONG, ""), 1024));
     let first = Node::start(&config, "");
-    until(|| first.tmp.join("sillward.sock").exists(), "a place to meet");
+    wait_until(|| first.tmp.join("sillward.sock").exists(), "a place to meet");
     let leftover = first.tmp.with_extension("left");
     std::fs::rename(&first.tmp, &leftover).expect("a new name");
     drop(first);
     let second = Node::start_in(&leftover, &config, "");
-    let mut watch = discovery.call();
+    let mut watch = discovery.next_call();
     watch.open();
     drop(watch);
-    let mut watch = discovery.call();
+    let mut watch = discovery.next_call();
     watch.open();
-    watch.line(&list(8, true, &[]));
-    until(|| second.is_ready(), "readiness");
+    watch.send_line(&list(8, true, &[]));
+    wait_until(|| second.is_ready(), "readiness");
 }
--- a/tests/crossings/client_gone.rs
+++ b/tests/races/client_gone.rs
@@ -1,6 +1,6 @@
 //! A client that leaves, against the attempts made for it.
 
-use crate::sockets::*;
+use crate::harness::*;
 use std::collections::BTreeSet;
 use std::net::Shutdown;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,7 +13,7 @@
 }
 
 fn is_held(message: &Message) -> bool {
-    message.start.contains("/held")
+    message.start_line.contains("/held")
 }
 
 /// Two backends that turn away who asks for `/read/held`, each once it holds a count of them that the gate lets through.
@@ -52,7 +52,7 @@
 
 fn ask_held(node: &Node) -> Client {
     let mut client = node.client();
-    client.send("GET /read/held", &common(LONG), b"");
+    client.send("GET /read/held", &common_headers(LONG), b"");
     client
 }
 
@@ -60,7 +60,7 @@
 fn others_are_served(node: &Node) {
     let mut other = node.client();
     for _ in 0..50 {
-        until(|| other.read().status() == 200, "service");
+        wait_until(|| other.request_read().status() == 200, "service");
     }
 }
 
@@ -69,25 +69,25 @@
 fn who_leaves_behind_half_a_request_gets_no_further_attempt() {
     for half in [false, true] {
         let gate = Gate::start();
-        let (node, _watch, _discovery) = serving(&settings(LONG, ""), &gate.backends.each_ref());
+        let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &gate.backends.each_ref());
         others_are_served(&node);
         let closed = gate.gate.lock().expect("the gate");
         let mut client = ask_held(&node);
-        until(|| gate.held() == 1, "the first attempt");
+        wait_until(|| gate.held() == 1, "the first attempt");
         client.write(b"GET /re");
-        let stream = client.sender();
+        let stream = client.write_handle();
         if half {
             stream.shutdown(Shutdown::Write).expect("it is open");
         }
         drop(stream);
-        let port = client.port();
+        let port = client.local_port();
         let kept = half.then_some(client);
-        ends_have_come(&[port], node.address);
+        wait_for_closes(&[port], node.address);
         drop(closed);
         others_are_served(&node);
         assert_eq!(gate.held(), 1, "half {half}");
         // It is not answered: its end counts as a close.
-        assert!(kept.is_none_or(|mut client| client.rest().is_empty()));
+        assert!(kept.is_none_or(|mut client| client.read_to_end().is_empty()));
     }
 }
 
@@ -97,13 +97,13 @@
     const CROWD: usize = 200;
     for first in [true, false] {
         let gate = Gate::start();
-        let (node, _watch, _discovery) = serving(&settings(LONG, ""), &gate.backends.each_ref());
+        let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &gate.backends.each_ref());
         others_are_served(&node);
         let closed = gate.gate.lock().expect("the gate");
         let crowd: Vec<Client> = (0..CROWD).map(|_| ask_held(&node)).collect();
-        until(|| gate.held() > 0, "an attempt");
-        node.stand_still(true);
-        let ports: Vec<u16> = crowd.iter().map(Client::port).collect();
+        wait_until(|| gate.held() > 0, "an attempt");
+        node.set_stopped(true);
+        let ports: Vec<u16> = crowd.iter().map(Client::local_port).collect();
         if first {
             drop(crowd);
             drop(closed);
@@ -111,8 +111,8 @@
             drop(closed);
             drop(crowd);
         }
-        ends_have_come(&ports, node.address);
-        node.stand_still(false);
+        wait_for_closes(&ports, node.address);
+        node.set_stopped(false);
         others_are_served(&node);
         // What it had written before it stood still may reach a backend's thread later: a few first attempts, each once.
         // Of those that wait fewer than a quarter may be sent on.
--- a/tests/crossings/client_side.rs
+++ b/tests/races/client_side.rs
@@ -1,7 +1,7 @@
 //! SIGTERM and closes, against what clients send. The times after SIGTERM are played beside the front, on a clock that the
 //! tests move; here the process stands still while two things come to it.
 
-use crate::sockets::*;
+use crate::harness::*;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -30,14 +30,14 @@
 
 /// The headers of a request, and its id.
 fn numbered() -> (String, String) {
-    let headers = common(LONG);
+    let headers = common_headers(LONG);
     let id = headers.lines().find_map(|line| line.strip_prefix("X-Call-Id: ")).expect("an id").to_owned();
     (headers, id)
 }
 
 /// Until so long after, whatever the machine does meanwhile.
 fn pass(since: Instant, time: Duration) {
-    until(|| since.elapsed() > time, "a time that only passes");
+    wait_until(|| since.elapsed() > time, "a time that only passes");
 }
 
 /// Connections that rest are sent a request each, in the turn in which the node would close them, and past the time in
@@ -45,13 +45,13 @@
 #[test]
 fn requests_on_resting_connections_that_come_in_the_turn_of_the_close_are_answered() {
     let (backends, ran) = echoing();
-    let (mut node, _watch, _discovery) = serving(&settings(LONG, ""), &backends.each_ref());
+    let (mut node, _watch, _discovery) = serving_node(&settings(LONG, ""), &backends.each_ref());
     let mut crowd: Vec<Client> = (0..CROWD).map(|_| node.client()).collect();
-    crowd.iter_mut().for_each(|client| assert_eq!(client.read().status(), 200));
+    crowd.iter_mut().for_each(|client| assert_eq!(client.request_read().status(), 200));
     node.terminate();
     let told = Instant::now();
-    node.logged("told to stop");
-    node.stand_still(true);
+    node.wait_for_log("told to stop");
+    node.set_stopped(true);
     let asked: Vec<_> = crowd
         .into_iter()
         .map(|mut client| {
@@ -61,9 +61,9 @@
         })
         .collect();
     pass(told, LAST_BYTE);
-    node.stand_still(false);
+    node.set_stopped(false);
     for (mut client, id, sent) in asked {
-        let answer = sent.then(|| client.whole_answer().expect("no half answer")).flatten();
+        let answer = sent.then(|| client.try_answer().expect("no half answer")).flatten();
         match answer {
             // Where all come at once some may be refused, and that is an answer.
             Some(answer) => assert!(answer.body == id.as_bytes() || answer.status() == 503, "{answer:?}"),
@@ -71,7 +71,7 @@
             None => assert!(!ran.lock().expect("the list").contains(&id), "{id} ran and has no answer"),
         }
     }
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
 /// First requests that wait in the accept queue when the node is told, or come there right after: whichever it sees first.
@@ -79,8 +79,8 @@
 fn first_requests_in_the_accept_queue_are_answered() {
     for signal_first in [true, false] {
         let (backends, _ran) = echoing();
-        let (mut node, _watch, _discovery) = serving(&settings(LONG, ""), &backends.each_ref());
-        node.stand_still(true);
+        let (mut node, _watch, _discovery) = serving_node(&settings(LONG, ""), &backends.each_ref());
+        node.set_stopped(true);
         if signal_first {
             node.terminate();
         }
@@ -95,14 +95,14 @@
         if !signal_first {
             node.terminate();
         }
-        node.stand_still(false);
+        node.set_stopped(false);
         for (mut client, id) in crowd {
-            let answer = client.whole_answer().expect("no half answer");
+            let answer = client.try_answer().expect("no half answer");
             let answer = answer.unwrap_or_else(|| panic!("no answer; signal first: {signal_first}"));
             // Where all come at once some may be refused, and that is an answer.
             assert!(answer.body == id.as_bytes() || answer.status() == 503, "{answer:?}");
         }
-        assert_eq!(node.exit().code(), Some(0));
+        assert_eq!(node.wait_for_exit().code(), Some(0));
     }
 }
 
@@ -112,20 +112,20 @@
     const LENGTH: usize = 8 << 20;
     for (behind, told) in [(0, true), (256 << 10, false), (256 << 10, true)] {
         let backend = Backend::start(|_| Reply::Answer("200 OK", "", vec![b'a'; LENGTH]));
-        let (mut node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
+        let (mut node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
         let mut client = node.client();
         let headers =
-            format!("{}Connection: {}\r\n", common(LONG), if told { "keep-alive" } else { "close" });
+            format!("{}Connection: {}\r\n", common_headers(LONG), if told { "keep-alive" } else { "close" });
         assert!(client.try_send("GET /read/1f", &headers));
         // The head has come, and the client reads no further for now.
-        let head = client.line();
+        let head = client.read_line();
         assert_eq!(head.trim_end(), "HTTP/1.1 200 OK");
         if told {
             node.terminate();
-            node.logged("told to stop");
+            node.wait_for_log("told to stop");
         }
         client.write(&vec![b'x'; behind]);
-        let rest = client.rest();
+        let rest = client.read_to_end();
         let start = rest.windows(4).position(|end| end == b"\r\n\r\n").expect("the end of the head") + 4;
         let came = rest[start..].iter().take_while(|byte| **byte == b'a').count();
         assert_eq!(came, LENGTH, "{behind} bytes behind, told to stop: {told}");
@@ -134,7 +134,7 @@
         assert!(after.is_empty() || after.starts_with(b"HTTP/1.1 4"), "{}", String::from_utf8_lossy(after));
         drop(client);
         if told {
-            assert_eq!(node.exit().code(), Some(0));
+            assert_eq!(node.wait_for_exit().code(), Some(0));
         }
     }
 }
@@ -143,15 +143,15 @@
 #[test]
 fn a_backend_that_hangs_past_the_deadline_is_answered_for() {
     let backend = Backend::start(|_| Reply::Silence);
-    let (mut node, _watch, _discovery) = serving(&settings(1000, ""), &[&backend]);
+    let (mut node, _watch, _discovery) = serving_node(&settings(1000, ""), &[&backend]);
     let mut client = node.client();
-    client.send("POST /correct/1f", &common(1000), b"sheet");
-    backend.request();
+    client.send("POST /correct/1f", &common_headers(1000), b"sheet");
+    backend.next_request();
     node.terminate();
     let answer = client.answer().expect("an answer");
     assert!([502, 504].contains(&answer.status()), "{answer:?}");
     assert_eq!(answer.header("connection"), Some("close"));
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
 /// A process that holds no list yet ends like any other, and what it has taken is answered.
@@ -159,13 +159,13 @@
 fn sigterm_before_the_node_is_ready_ends_it_in_order() {
     let discovery = Discovery::start();
     let mut node = Node::start(&config(discovery.address, &settings(LONG, ""), 1024), "");
-    let _silent = discovery.call();
+    let _silent = discovery.next_call();
     let mut client = node.client();
-    client.send("GET /read/1f", &common(1000), b"");
+    client.send("GET /read/1f", &common_headers(1000), b"");
     node.terminate();
     let answer = client.answer().expect("an answer");
     assert!(answer.status() >= 500, "{answer:?}");
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
 /// Told twice, or told to stop and to look again in one turn: it ends once, and what it held is answered.
@@ -178,12 +178,12 @@
             let _ = meet.lock().expect("the gate").recv();
             ok("held")
         });
-        let (mut node, _watch, discovery) = serving(&settings(LONG, ""), &[&backend]);
+        let (mut node, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
         let mut client = node.client();
-        client.send("GET /read/1f", &common(LONG), b"");
-        backend.request();
+        client.send("GET /read/1f", &common_headers(LONG), b"");
+        backend.next_request();
         let again = config(discovery.address, &settings(LONG / 2, ""), 1024);
-        node.stand_still(true);
+        node.set_stopped(true);
         if hangup == Some(true) {
             node.reload(&again);
         }
@@ -191,13 +191,13 @@
         if hangup == Some(false) {
             node.reload(&again);
         }
-        node.stand_still(false);
-        node.logged("told to stop");
+        node.set_stopped(false);
+        node.wait_for_log("told to stop");
         node.terminate();
         drop(met);
         let answer = client.answer().expect("an answer");
         assert_eq!(answer.body, b"held", "{hangup:?}");
         assert_eq!(answer.header("connection"), Some("close"), "{hangup:?}");
-        assert_eq!(node.exit().code(), Some(0), "{hangup:?}");
+        assert_eq!(node.wait_for_exit().code(), Some(0), "{hangup:?}");
     }
 }
--- a/tests/crossings/floods.rs
+++ b/tests/races/floods.rs
@@ -1,6 +1,6 @@
 //! Crowds that want nothing good, against clients that do.
 
-use crate::sockets::*;
+use crate::harness::*;
 use std::io::Write;
 use std::net::TcpStream;
 use std::sync::Mutex;
@@ -17,7 +17,7 @@
 
 /// Until the node ends the connection or has said what is wrong; false if neither comes.
 fn is_told(stream: &mut TcpStream) -> bool {
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
     match stream.peek(&mut [0]) {
         Ok(_) => true,
         Err(e) => !matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
@@ -34,7 +34,7 @@
 }
 
 fn half_body(stream: &mut TcpStream) -> bool {
-    let head = format!("POST /correct/1f HTTP/1.1\r\nHost: a\r\n{}Content-Length: 9\r\n\r\n", common(20_000));
+    let head = format!("POST /correct/1f HTTP/1.1\r\nHost: a\r\n{}Content-Length: 9\r\n\r\n", common_headers(20_000));
     let _ = stream.write_all(&[head.as_bytes(), b"half"].concat());
     is_told(stream)
 }
@@ -48,7 +48,7 @@
 /// A body that is too long, sent for as long as the node reads.
 fn too_long(stream: &mut TcpStream) -> bool {
     let head =
-        format!("POST /correct/1f HTTP/1.1\r\nHost: a\r\n{}Content-Length: 60000000\r\n\r\n", common(20_000));
+        format!("POST /correct/1f HTTP/1.1\r\nHost: a\r\n{}Content-Length: 60000000\r\n\r\n", common_headers(20_000));
     let mut sent = stream.write_all(head.as_bytes());
     for _ in 0..60_000_000 / (64 << 10) {
         if sent.is_err() {
@@ -62,7 +62,7 @@
 /// A byte at a time. What the node waits for is progress, so that the pace is its peer's alone.
 fn dribbled(stream: &mut TcpStream) -> bool {
     stream.set_read_timeout(Some(Duration::from_secs(1))).expect("a time-out");
-    let head = format!("GET /read/1f HTTP/1.1\r\nHost: {}", "a".repeat(PATIENCE.as_secs() as usize));
+    let head = format!("GET /read/1f HTTP/1.1\r\nHost: {}", "a".repeat(TEST_TIMEOUT.as_secs() as usize));
     for byte in head.bytes() {
         if stream.write_all(&[byte]).is_err() {
             return true;
@@ -77,7 +77,7 @@
 
 /// Asks for a long answer and takes nothing of it until the node has let go: then it ends before its end.
 fn refuses_to_read(stream: &mut TcpStream) -> bool {
-    let asks = format!("GET /read/long HTTP/1.1\r\nHost: a\r\n{}\r\n", common(20_000));
+    let asks = format!("GET /read/long HTTP/1.1\r\nHost: a\r\n{}\r\n", common_headers(20_000));
     {
         // One after the other until the answer begins: a new node sends no two at once to one backend.
         static ASKS: Mutex<()> = Mutex::new(());
@@ -89,7 +89,7 @@
         // What is written after the end is answered by a reset.
         stream.write_all(b"x").is_err()
     };
-    until(ended, "the node to end a connection that takes nothing");
+    wait_until(ended, "the node to end a connection that takes nothing");
     true
 }
 
@@ -98,16 +98,16 @@
     let backends = [(); 3].map(|()| {
         Backend::start(
             |message| {
-                if message.start.contains("/long") { ok(&"x".repeat(LONG)) } else { ok("good") }
+                if message.start_line.contains("/long") { ok(&"x".repeat(LONG)) } else { ok("good") }
             },
         )
     });
     // Good clients ask as fast as they are answered: their tenant may.
     let plenty = settings(20_000, "").replace(r#""AllowancePerS":1000,"#, r#""AllowancePerS":1000000,"#);
     let (node, _watch, _discovery) =
-        serving_with(&plenty, &backends.each_ref(), SOCKETS, &format!("ulimit -n {SOCKETS}; "));
-    assert_eq!(node.client().read().body, b"good");
-    let before = node.descriptors();
+        serving_node_with(&plenty, &backends.each_ref(), SOCKETS, &format!("ulimit -n {SOCKETS}; "));
+    assert_eq!(node.client().request_read().body, b"good");
+    let before = node.open_descriptors();
     let over = AtomicBool::new(false);
     let (mut longest, mut served, mut again) = (Duration::ZERO, 0, 0);
     std::thread::scope(|scope| {
@@ -127,8 +127,8 @@
             while !over.load(Ordering::SeqCst) || served < 20 {
                 let mut client = node.client();
                 // Unsafe to repeat: a busy machine's hiccup is waited for, where a safe request gets another attempt.
-                let sent = client.try_send("POST /correct/1f", &common(20_000));
-                match client.whole_answer().expect("a whole answer or none") {
+                let sent = client.try_send("POST /correct/1f", &common_headers(20_000));
+                match client.try_answer().expect("a whole answer or none") {
                     Some(answer) if sent => {
                         let told = (answer.status(), answer.body.as_slice());
                         assert_eq!(told, (200, &b"good"[..]), "{name}: after {served}, {:?}", answer.headers);
@@ -144,15 +144,15 @@
         (served, again) = good.join().expect("good clients");
     });
     assert!(again <= served / 20 + 2, "{name}: {again} of {served} were shut out");
-    until(|| node.descriptors() <= before + 8, "descriptors to come back");
-    let peak = node.peak() >> 20;
+    wait_until(|| node.open_descriptors() <= before + 8, "descriptors to come back");
+    let peak = node.peak_memory() >> 20;
     eprintln!(
         "{name}: the longest had {longest:?}; {served} good ones served, {again} came again, {peak} MB"
     );
     // What is over half of the limit is priced.
     assert!(peak < 96, "{name}: {peak} MB");
     assert!(!node.has_logged("cannot accept") && !node.has_logged("cannot dial"), "{name}");
-    assert_eq!(node.client().read().body, b"good");
+    assert_eq!(node.client().request_read().body, b"good");
 }
 
 #[test]
--- a/tests/crossings/handover.rs
+++ b/tests/races/handover.rs
@@ -1,6 +1,6 @@
 //! Upgrades, restarts and new settings, against requests and calls.
 
-use crate::sockets::*;
+use crate::harness::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::process::ExitStatusExt;
@@ -19,11 +19,11 @@
 /// Gives a process that asks its list, and waits until it says that it can serve.
 fn inform(discovery: &Discovery, backend: &Backend, node: &Node) -> Watch {
     let line = list(8, true, &[entry("s-0", backend.address, "in_service")]);
-    discovery.informs(&line, || node.call("GET /status") == 200, "a yes")
+    discovery.send_list_until(&line, || node.ops_call("GET /status") == 200, "a yes")
 }
 
 fn fresh(address: SocketAddr, start: &str) -> u16 {
-    Client::connect(address).ask(start, &common(LONG), b"").status()
+    Client::connect(address).request(start, &common_headers(LONG), b"").status()
 }
 
 // ---- Upgrades -----------------------------------------------------------------------------------
@@ -32,56 +32,56 @@
 fn after_a_new_process_crashed_the_old_one_has_its_whole_share_and_the_next_takes_over_from_it() {
     let backend = Backend::start(|_| ok("fine"));
     let sockets = 128; // 48 clients, of which two processes have 12 each
-    let (mut old, _watch, discovery) = serving_with(&settings(LONG, ""), &[&backend], sockets, "");
+    let (mut old, _watch, discovery) = serving_node_with(&settings(LONG, ""), &[&backend], sockets, "");
     let address = old.address;
     let config = beside(address, &discovery, &settings(LONG, ""), sockets);
     let mut crashes = Node::start_in(&old.tmp, &config, "");
-    old.logged("passed the listening socket on");
+    old.wait_for_log("passed the listening socket on");
     assert_eq!(fresh(address, "GET /read/1"), 200, "one that is not ready leaves the queue to it");
-    drop(discovery.call()); // it has asked for its list
+    drop(discovery.next_call()); // it has asked for its list
     crashes.signal("-KILL");
-    assert_eq!(crashes.exit().signal(), Some(9));
-    old.logged("the process after this one has gone");
-    assert_eq!(old.call("GET /status"), 200);
+    assert_eq!(crashes.wait_for_exit().signal(), Some(9));
+    old.wait_for_log("the process after this one has gone");
+    assert_eq!(old.ops_call("GET /status"), 200);
     let mut clients: Vec<_> = (0..40).map(|_| Client::connect(address)).collect();
     for _ in 0..2 {
-        clients.iter_mut().for_each(|client| assert_eq!(client.read().status(), 200));
+        clients.iter_mut().for_each(|client| assert_eq!(client.request_read().status(), 200));
     }
     drop(clients);
 
     let third = Node::start_in(&old.tmp, &config, "");
-    third.logged("took the listening socket over");
+    third.wait_for_log("took the listening socket over");
     let _told = inform(&discovery, &backend, &third);
     old.terminate();
-    assert_eq!(old.exit().code(), Some(0));
-    third.logged("the process before this one has gone");
+    assert_eq!(old.wait_for_exit().code(), Some(0));
+    third.wait_for_log("the process before this one has gone");
     assert_eq!(fresh(address, "GET /read/1"), 200);
     let fourth = Node::start_in(&old.tmp, &config, "");
-    fourth.logged("took the listening socket over");
+    fourth.wait_for_log("took the listening socket over");
 }
 
 #[test]
 fn a_drain_is_carried_over_whether_it_is_called_for_before_or_while_there_are_two() {
     let backend = Backend::start(|_| ok("fine"));
     for before in [true, false] {
-        let (mut old, _watch, discovery) = serving(&settings(LONG, ""), &[&backend]);
+        let (mut old, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
         let config = beside(old.address, &discovery, &settings(LONG, ""), 1024);
         if before {
-            assert_eq!(old.call("POST /standby"), 200);
+            assert_eq!(old.ops_call("POST /standby"), 200);
         }
         let new = Node::start_in(&old.tmp, &config, "");
-        assert_eq!(new.call("GET /status"), 503, "starting");
+        assert_eq!(new.ops_call("GET /status"), 503, "starting");
         if !before {
-            assert_eq!(old.call("POST /standby"), 200);
+            assert_eq!(old.ops_call("POST /standby"), 200);
         }
-        new.logged("Standby, as the process before this one");
+        new.wait_for_log("Standby, as the process before this one");
         let _told = inform(&discovery, &backend, &new);
         assert!((0..20).all(|_| !new.is_ready()), "whichever of the two answers");
         old.terminate();
-        assert_eq!(old.exit().code(), Some(0));
-        new.logged("the process before this one has gone");
+        assert_eq!(old.wait_for_exit().code(), Some(0));
+        new.wait_for_log("the process before this one has gone");
         assert!(!new.is_ready(), "the end of the old one ends no drain");
-        assert_eq!(new.call("POST /active"), 200);
+        assert_eq!(new.ops_call("POST /active"), 200);
         assert!(new.is_ready());
     }
 }
@@ -89,19 +89,19 @@
 #[test]
 fn a_new_process_that_is_told_to_stop_before_it_is_ready_leaves_the_queue_to_the_old_one() {
     let backend = Backend::start(|_| ok("fine"));
-    let (old, _watch, discovery) = serving(&settings(LONG, ""), &[&backend]);
+    let (old, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let config = beside(old.address, &discovery, &settings(LONG, ""), 1024);
     let mut gone = Vec::new(); // the place to meet is there for as long as they are
     for _ in 0..3 {
         let mut new = Node::start_in(&old.tmp, &config, "");
-        new.logged("took the listening socket over");
+        new.wait_for_log("took the listening socket over");
         new.terminate();
         new.terminate();
-        new.logged("told to stop");
+        new.wait_for_log("told to stop");
         let all = (0..50).all(|_| fresh(old.address, "GET /read/1") == 200);
         assert!(all, "it has no list and would refuse");
-        assert_eq!(new.call("POST /active"), 409);
-        assert_eq!(new.exit().code(), Some(0));
+        assert_eq!(new.ops_call("POST /active"), 409);
+        assert_eq!(new.wait_for_exit().code(), Some(0));
         gone.push(new);
     }
 }
@@ -109,7 +109,7 @@
 #[test]
 fn new_settings_told_to_both_processes_of_an_upgrade_hold_in_both_and_after_it() {
     let backend = Backend::start(|_| ok("fine"));
-    let (mut old, _watch, discovery) = serving(&settings(LONG, ""), &[&backend]);
+    let (mut old, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let address = old.address;
     let before = beside(address, &discovery, &settings(LONG, ""), 1024);
     let new = Node::start_in(&old.tmp, &before, "");
@@ -118,8 +118,8 @@
     new.reload(&after);
     old.reload(&after.replace(&address.to_string(), "127.0.0.1:0"));
     for node in [&old, &new] {
-        node.logged("classes are count, submit, correct");
-        assert_eq!(node.call("GET /status"), 200);
+        node.wait_for_log("classes are count, submit, correct");
+        assert_eq!(node.ops_call("GET /status"), 200);
     }
     assert!((0..20).all(|_| fresh(address, "GET /count/1") == 200));
     assert!((0..20).all(|_| fresh(address, "GET /read/1") == 404));
@@ -127,8 +127,8 @@
     old.signal("-HUP");
     old.terminate();
     new.reload(&before);
-    assert_eq!(old.exit().code(), Some(0));
-    new.logged("classes are read, submit, correct");
+    assert_eq!(old.wait_for_exit().code(), Some(0));
+    new.wait_for_log("classes are read, submit, correct");
     assert_eq!(fresh(address, "GET /read/1"), 200);
 }
 
@@ -137,26 +137,26 @@
     let (go, gate) = channel::<()>();
     let gate = Arc::new(Mutex::new(gate));
     let backend = Backend::start(move |_| {
-        let _ = gate.lock().expect("the gate").recv_timeout(PATIENCE);
+        let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
         ok("held")
     });
     for old_first in [true, false] {
-        let (mut old, _watch, discovery) = serving(&settings(LONG, ""), &[&backend]);
+        let (mut old, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
         let config = beside(old.address, &discovery, &settings(LONG, ""), 1024);
         let mut new = Node::start_in(&old.tmp, &config, "");
         let _told = inform(&discovery, &backend, &new);
-        let held = backend.count();
+        let held = backend.request_count();
         // Of a cold start's few places not all may be had: one at a time, each held before the next.
         let mut client = Client::connect(old.address);
         client.send_correct();
-        until(|| backend.count() == held + 1, "a request at the backend");
+        wait_until(|| backend.request_count() == held + 1, "a request at the backend");
         let both = if old_first { [&old, &new] } else { [&new, &old] };
         both.iter().for_each(|node| node.terminate());
-        both.iter().for_each(|node| drop(node.logged("told to stop")));
-        both.iter().for_each(|node| assert_eq!(node.call("POST /standby"), 200));
+        both.iter().for_each(|node| drop(node.wait_for_log("told to stop")));
+        both.iter().for_each(|node| assert_eq!(node.ops_call("POST /standby"), 200));
         go.send(()).expect("the backend waits");
         assert_eq!(client.answer().expect("an answer").status(), 200);
-        assert_eq!((old.exit().code(), new.exit().code()), (Some(0), Some(0)));
+        assert_eq!((old.wait_for_exit().code(), new.wait_for_exit().code()), (Some(0), Some(0)));
     }
 }
 
@@ -213,13 +213,13 @@
         let config = with_ops(&knowing(&config(address, &settings(LONG, ""), 1024), &known));
         let mut node = Node::start(&config, "");
         if address == breaks.address {
-            breaks.call().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nnonsense\r\n");
+            breaks.next_call().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nnonsense\r\n");
         }
-        until(|| node.call("GET /status") == 200, "a yes");
+        wait_until(|| node.ops_call("GET /status") == 200, "a yes");
         assert!(node.is_ready());
         assert_eq!(fresh(node.address, "GET /read/1"), 200);
         node.terminate();
-        assert_eq!(node.exit().code(), Some(0));
+        assert_eq!(node.wait_for_exit().code(), Some(0));
     }
 }
 
@@ -232,20 +232,20 @@
         let discovery = Discovery::start();
         let config = with_ops(&knowing(&config(discovery.address, &settings(LONG, ""), 1024), known));
         let mut node = Node::start(&config, "");
-        assert_eq!((node.call("GET /status"), node.call("POST /standby")), (503, 200), "{known}");
-        assert_eq!(node.call("POST /active"), 200);
+        assert_eq!((node.ops_call("GET /status"), node.ops_call("POST /standby")), (503, 200), "{known}");
+        assert_eq!(node.ops_call("POST /active"), 200);
         let _told = inform(&discovery, &backend, &node);
         assert_eq!(fresh(node.address, "GET /read/1"), 200);
         node.terminate();
-        assert_eq!(node.exit().code(), Some(0));
+        assert_eq!(node.wait_for_exit().code(), Some(0));
 
         let mut ends = Node::start(&config, "");
         ends.terminate();
         ends.signal("-HUP");
         ends.terminate();
-        ends.logged("told to stop");
-        assert_eq!((ends.call("GET /status"), ends.call("POST /active")), (503, 409));
-        assert_eq!(ends.exit().code(), Some(0));
+        ends.wait_for_log("told to stop");
+        assert_eq!((ends.ops_call("GET /status"), ends.ops_call("POST /active")), (503, 409));
+        assert_eq!(ends.wait_for_exit().code(), Some(0));
     }
 }
 
@@ -260,7 +260,7 @@
             let config = config.clone();
             std::thread::spawn(move || {
                 let node = Node::start(&config, "");
-                until(|| node.call("GET /status") == 200, "a yes");
+                wait_until(|| node.ops_call("GET /status") == 200, "a yes");
                 assert!(node.is_ready());
                 node
             })
@@ -268,7 +268,7 @@
         .collect();
     let mut nodes: Vec<_> = starts.into_iter().map(|start| start.join().expect("a ready node")).collect();
     nodes.iter().for_each(Node::terminate);
-    nodes.iter_mut().for_each(|node| assert_eq!(node.exit().code(), Some(0)));
+    nodes.iter_mut().for_each(|node| assert_eq!(node.wait_for_exit().code(), Some(0)));
 }
 
 // ---- New settings -------------------------------------------------------------------------------
@@ -288,13 +288,13 @@
     let backends = [0, 1, 2, 3].map(|_| {
         let gate = gate.clone();
         Backend::start(move |message| {
-            if message.start.contains("hold") {
-                let _ = gate.lock().expect("the gate").recv_timeout(PATIENCE);
+            if message.start_line.contains("hold") {
+                let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
             }
             ok("fine")
         })
     });
-    let count = || backends.iter().map(Backend::count).sum::<usize>();
+    let count = || backends.iter().map(Backend::request_count).sum::<usize>();
     let listed: Vec<_> =
         (0..).zip(&backends).map(|(i, b)| entry(&format!("s-{i}"), b.address, "in_service")).collect();
     let class = |name: &str, kind: &str| {
@@ -312,17 +312,17 @@
         let config = with_array(&config, r#""Classes":["#, &join(classes));
         with_array(&config, r#""Projects":["#, &join(tenants))
     };
-    let as_ = |name: &str| common(LONG).replace("acme", name);
+    let as_ = |name: &str| common_headers(LONG).replace("acme", name);
     for first in [0, 1, 2] {
         let discovery = Discovery::start();
         let mut classes = [&read, &submit, &correct];
         classes.rotate_left(first);
         let node = Node::start(&of(&classes, &[&zeta, &acme], &discovery), "");
-        let _told = discovery.informs(&list(8, true, &listed), || node.is_ready(), "readiness");
+        let _told = discovery.send_list_until(&list(8, true, &listed), || node.is_ready(), "readiness");
         let serves = |calls: &[(&str, &str, u16)]| {
             for (start, name, status) in calls {
                 let keyed = format!("{}Idempotency-Key: 1\r\n", as_(name));
-                assert_eq!(node.client().ask(start, &keyed, b"").status(), *status, "{start} of {name}");
+                assert_eq!(node.client().request(start, &keyed, b"").status(), *status, "{start} of {name}");
             }
         };
         let all = ["GET /read/1", "POST /submit/1", "POST /correct/1"];
@@ -332,24 +332,24 @@
         let held = count();
         let mut open = node.client();
         open.send("POST /correct/hold", &as_("zeta"), b"sheet");
-        until(|| count() == held + 1, "the request at the backend");
+        wait_until(|| count() == held + 1, "the request at the backend");
         classes.reverse();
         let kept: Vec<_> = classes.into_iter().filter(|class| **class != correct).collect();
         // Two signals in a row: whichever of the files the first one finds, the last one holds.
         node.reload(&of(&[&submit], &[&acme], &discovery));
         node.reload(&of(&kept, &[&acme], &discovery));
         let names = if kept[0] == &read { "read, submit" } else { "submit, read" };
-        node.logged(&format!("classes are {names}"));
+        node.wait_for_log(&format!("classes are {names}"));
         serves(&[
             ("GET /read/1", "acme", 200),
             ("POST /submit/1", "acme", 200),
             ("GET /read/1", "zeta", 403),
         ]);
         serves(&[("POST /correct/1", "acme", 404)]);
-        assert_eq!(node.call("GET /status"), 200);
+        assert_eq!(node.ops_call("GET /status"), 200);
         // And back, in the instant in which the process is told to stop: the request still has its answer.
         node.reload(&of(&[&correct, &read, &submit], &[&acme, &zeta], &discovery));
-        node.logged("classes are correct, read, submit");
+        node.wait_for_log("classes are correct, read, submit");
         serves(&all.map(|start| (start, "zeta", 200)));
         node.signal("-HUP");
         node.terminate();
--- a/tests/crossings/lists.rs
+++ b/tests/races/lists.rs
@@ -1,6 +1,6 @@
 //! Drains, silences and moves of discovery, against each other and against crowds.
 
-use crate::sockets::*;
+use crate::harness::*;
 use rustix::net::{AddressFamily, SocketType, bind, listen, socket};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -32,12 +32,12 @@
 
 /// The node sends to the second one alone from now on.
 fn has_left(node: &Node, old: &Backend) {
-    until(|| node.client().read().body == b"new", "the list");
-    let before = old.count();
+    wait_until(|| node.client().request_read().body == b"new", "the list");
+    let before = old.request_count();
     for _ in 0..5 {
-        assert_eq!(node.client().correct().body, b"new");
+        assert_eq!(node.client().request_correct().body, b"new");
     }
-    assert_eq!(old.count(), before);
+    assert_eq!(old.request_count(), before);
 }
 
 /// However long the settings allow between calls, a list is there soon after discovery, which refuses calls, answers them
@@ -50,13 +50,13 @@
         let address = place.local_addr().expect("its address");
         let config = knowing(&config(address, &asked(within_ms, grace_ms), 1024), &old);
         let node = Node::start(&config, "");
-        node.logged("the watch broke");
+        node.wait_for_log("the watch broke");
         listen(&place, 64).expect("calls are taken");
         let discovery = Discovery::on(place);
-        discovery.call().write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
-        discovery.call().open();
-        drop(discovery.call());
-        discovery.tells(&drained(&old, &new));
+        discovery.next_call().write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
+        discovery.next_call().open();
+        drop(discovery.next_call());
+        discovery.answer_all_calls(&drained(&old, &new));
         has_left(&node, &old);
     }
 }
@@ -66,23 +66,23 @@
 fn a_last_value_and_the_reset_behind_it_in_one_read() {
     for opened in [true, false] {
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-        let (node, first, discovery) = serving(&settings(20_000, ""), &[&old]);
+        let (node, first, discovery) = serving_node(&settings(20_000, ""), &[&old]);
         let mut watch = if opened {
             first
         } else {
-            first.end();
-            discovery.call()
+            first.close();
+            discovery.next_call()
         };
-        watch.hush();
-        node.freeze();
+        watch.stop_heartbeat();
+        node.suspend();
         if !opened {
             watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
-        watch.line(&drained(&old, &new));
+        watch.send_line(&drained(&old, &new));
         watch.reset();
-        node.thaw();
-        let mut next = discovery.call();
-        assert!(next.start.contains("index=9 "), "the value counts: {}", next.start);
+        node.resume();
+        let mut next = discovery.next_call();
+        assert!(next.start_line.contains("index=9 "), "the value counts: {}", next.start_line);
         next.open();
         has_left(&node, &old);
     }
@@ -102,9 +102,9 @@
         let address = place.local_addr().expect("its address");
         let config = with_ops(&config(address, &settings(20_000, ""), SOCKETS));
         let node = Node::start(&knowing(&config, &old), &format!("ulimit -n {SOCKETS}; "));
-        until(|| node.is_ready(), "readiness");
-        node.logged("the watch broke");
-        let ops = node.ops();
+        wait_until(|| node.is_ready(), "readiness");
+        node.wait_for_log("the watch broke");
+        let ops = node.ops_address();
         let (over, shut_out) = (AtomicBool::new(false), AtomicUsize::new(0));
         std::thread::scope(|scope| {
             let crowd = || {
@@ -118,7 +118,7 @@
                         break;
                     }
                 }
-                until(|| over.load(Ordering::SeqCst), "the test's end");
+                wait_until(|| over.load(Ordering::SeqCst), "the test's end");
                 held.len()
             };
             let crowds = [scope.spawn(crowd), scope.spawn(crowd)];
@@ -126,8 +126,8 @@
                 // Its connection may be the longest silent one before its request is there: then it comes again.
                 loop {
                     let mut client = node.client();
-                    let sent = client.try_send("POST /correct/1f", &common(20_000));
-                    match client.whole_answer().expect("a whole answer or none") {
+                    let sent = client.try_send("POST /correct/1f", &common_headers(20_000));
+                    match client.try_answer().expect("a whole answer or none") {
                         Some(answer) if sent => {
                             assert_eq!(answer.status(), 200);
                             return answer.body;
@@ -137,12 +137,12 @@
                 }
             };
             (0..50).for_each(|_| assert_eq!(asks(), b"old"));
-            assert_eq!(Client::connect(ops).ask("GET /status", "", b"").status(), 200);
+            assert_eq!(Client::connect(ops).request("GET /status", "", b"").status(), 200);
             if !silent {
                 listen(&place, 64).expect("calls are taken");
             }
-            Discovery::on(place).tells(&drained(&old, &new));
-            until(|| asks() == b"new", "the list");
+            Discovery::on(place).answer_all_calls(&drained(&old, &new));
+            wait_until(|| asks() == b"new", "the list");
             (0..50).for_each(|_| assert_eq!(asks(), b"new"));
             over.store(true, Ordering::SeqCst);
             let held: usize = crowds.map(|crowd| crowd.join().expect("a crowd")).iter().sum();
@@ -154,6 +154,6 @@
         for none in ["cannot accept", "cannot dial", "no connection is left", "too much to do"] {
             assert!(!node.has_logged(none), "{none}");
         }
-        until(|| node.descriptors() < 40, "the crowd's descriptors to come back");
+        wait_until(|| node.open_descriptors() < 40, "the crowd's descriptors to come back");
     }
 }
--- a/tests/crossings/settings.rs
+++ b/tests/races/settings.rs
@@ -1,6 +1,6 @@
 //! New settings that take long to read, against requests, further signals and the end of the process.
 
-use crate::sockets::*;
+use crate::harness::*;
 use std::fs::{File, rename, write};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
 impl Slow {
     fn start() -> Self {
         let backend = Backend::start(|_| ok("fine"));
-        let (node, watch, discovery) = serving(&settings(LONG, ""), &[&backend]);
+        let (node, watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
         let pipe = node.tmp.join("pipe");
         assert!(Command::new("mkfifo").arg(&pipe).status().expect("mkfifo runs").success());
         rename(&pipe, node.config()).expect("it takes the place of the file");
@@ -41,7 +41,7 @@
     }
 
     fn serves(&self, start: &str) {
-        assert_eq!(self.node.client().ask(start, &common(LONG), b"").status(), 200, "{start}");
+        assert_eq!(self.node.client().request(start, &common_headers(LONG), b"").status(), 200, "{start}");
     }
 }
 
@@ -61,13 +61,13 @@
     slow.serves("GET /read/1");
     file.write_all(first.as_bytes()).expect("the node reads it");
     slow.serves("POST /correct/1");
-    assert_eq!(slow.node.client().ask("POST /amend/1", &common(LONG), b"").status(), 404);
-    assert_eq!(slow.node.call("GET /status"), 200);
+    assert_eq!(slow.node.client().request("POST /amend/1", &common_headers(LONG), b"").status(), 404);
+    assert_eq!(slow.node.ops_call("GET /status"), 200);
     file.write_all(rest.as_bytes()).expect("the node reads it");
     drop(file);
-    slow.node.logged("classes are read, submit, amend");
+    slow.node.wait_for_log("classes are read, submit, amend");
     slow.serves("POST /amend/1");
-    assert_eq!(slow.node.client().ask("POST /correct/1", &common(LONG), b"").status(), 404);
+    assert_eq!(slow.node.client().request("POST /correct/1", &common_headers(LONG), b"").status(), 404);
 }
 
 #[test]
@@ -79,8 +79,8 @@
     slow.serves("GET /read/1"); // the signal has been heard before this
     file.write_all(slow.with("first").as_bytes()).expect("the node reads it");
     drop(file);
-    slow.node.logged("classes are read, submit, first");
-    slow.node.logged("classes are read, submit, second");
+    slow.node.wait_for_log("classes are read, submit, first");
+    slow.node.wait_for_log("classes are read, submit, second");
     slow.serves("POST /second/1");
 }
 
@@ -91,12 +91,12 @@
     let text = slow.with("amend");
     file.write_all(&text.as_bytes()[..text.len() - 1]).expect("the node reads it");
     drop(file);
-    slow.node.logged("all stays as it was");
+    slow.node.wait_for_log("all stays as it was");
     slow.serves("POST /correct/1");
     // And a good one is taken after it.
     put(slow.node.config(), &slow.with("amend"));
     slow.node.signal("-HUP");
-    slow.node.logged("classes are read, submit, amend");
+    slow.node.wait_for_log("classes are read, submit, amend");
 }
 
 #[test]
@@ -105,5 +105,5 @@
     let _file = slow.begin();
     slow.serves("GET /read/1");
     slow.node.terminate();
-    assert_eq!(slow.node.exit().code(), Some(0));
+    assert_eq!(slow.node.wait_for_exit().code(), Some(0));
 }
--- a/tests/subset_node/costs.rs
+++ b/tests/subset_node/costs.rs
@@ -1,7 +1,7 @@
 //! What a node costs at the size that is coming: 52,000 servers, 110,000 tenants and 22,000 routes together.
 
 use crate::lists::large::{cost, servers, told_of, waits};
-use crate::sockets::*;
+use crate::harness::*;
 use std::fmt::Write;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -71,10 +71,10 @@
     let begun = Instant::now();
     let node = Node::start(&config, "");
     let listens = begun.elapsed().as_secs_f64();
-    let mut watch = discovery.call();
+    let mut watch = discovery.next_call();
     watch.open();
-    watch.line(&list(8, true, &all));
-    until(|| node.is_ready(), "readiness");
+    watch.send_line(&list(8, true, &all));
+    wait_until(|| node.is_ready(), "readiness");
     let (ready, processor) = (begun.elapsed().as_secs_f64(), cost(&node).0);
     sleep(Duration::from_secs(2));
     let (_, steady, peak) = cost(&node);
@@ -90,7 +90,7 @@
     let mut version = 9;
     let before = cost(&node).0;
     let mut tell = |entries: &[String], whole: bool| {
-        watch.line(&list(version, whole, entries));
+        watch.send_line(&list(version, whole, entries));
         version += 1;
     };
     told_of("with whole lists without a pause", &waits(&node, || (0..rounds).for_each(|_| tell(&all, true))));
--- a/tests/subset_node/mod.rs
+++ b/tests/subset_node/mod.rs
@@ -2,7 +2,7 @@
 
 mod costs;
 
-use crate::sockets::*;
+use crate::harness::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -44,13 +44,13 @@
     let discovery = Discovery::start();
     let node = Node::start(&configured(discovery.address, nodes, node), "");
     let all = list(8, true, &backends.entries(0..LISTED, "in_service"));
-    let watch = discovery.informs(&all, || node.is_ready(), "readiness");
+    let watch = discovery.send_list_until(&all, || node.is_ready(), "readiness");
     (node, watch, discovery)
 }
 
 /// Which server answers a request.
 fn served_by(client: &mut Client) -> usize {
-    let answer = client.read();
+    let answer = client.request_read();
     assert_eq!(answer.status(), 200);
     String::from_utf8(answer.body).expect("text").parse().expect("a number")
 }
@@ -81,13 +81,13 @@
     let used = used_by(&node);
     assert!(!used.is_empty() && used.len() <= HELD, "{}", used.len());
     // All that it uses drain, and others of the list take their place.
-    watch.line(&list(9, false, &backends.entries(used.iter().copied(), "terminating")));
-    until(|| !used.contains(&served_by(&mut node.client())), "another server");
+    watch.send_line(&list(9, false, &backends.entries(used.iter().copied(), "terminating")));
+    wait_until(|| !used.contains(&served_by(&mut node.client())), "another server");
     let then = used_by(&node);
     assert!(then.is_disjoint(&used), "{then:?} {used:?}");
     // They are back, as they were.
-    watch.line(&list(10, false, &backends.entries(used.iter().copied(), "in_service")));
-    until(|| used.contains(&served_by(&mut node.client())), "the servers that are back");
+    watch.send_line(&list(10, false, &backends.entries(used.iter().copied(), "in_service")));
+    wait_until(|| used.contains(&served_by(&mut node.client())), "the servers that are back");
 }
 
 #[test]
@@ -95,15 +95,15 @@
     let backends = Backends::start();
     let (node, mut watch, _discovery) = start(&backends, 10, 3);
     let told = |node: &Node| {
-        let answer = Client::connect(node.ops()).ask("GET /subset", "", b"");
+        let answer = Client::connect(node.ops_address()).request("GET /subset", "", b"");
         (answer.status(), String::from_utf8(answer.body).expect("text"))
     };
     let expected = format!(r#"{{"held":{HELD},"node":3,"nodes":10,"ready":{LISTED}}}"#);
     assert_eq!(told(&node), (200, format!("{expected}\n")));
-    assert_eq!(node.call("POST /subset"), 405);
-    watch.line(&list(9, true, &backends.entries(0..20, "in_service")));
-    until(|| told(&node).1.contains(r#""held":20,"node":3,"nodes":10,"ready":20"#), "a short list");
-    let (whole, _watch, _discovery) = serving(&settings(LONG, ""), &[&backends.0[0]]);
+    assert_eq!(node.ops_call("POST /subset"), 405);
+    watch.send_line(&list(9, true, &backends.entries(0..20, "in_service")));
+    wait_until(|| told(&node).1.contains(r#""held":20,"node":3,"nodes":10,"ready":20"#), "a short list");
+    let (whole, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backends.0[0]]);
     assert_eq!(told(&whole).0, 404);
 }
 
@@ -114,13 +114,13 @@
     let used = used_by(&node);
     // A whole list that names only servers which the node has not used so far.
     let rest: Vec<_> = (0..LISTED).filter(|number| !used.contains(number)).take(40).collect();
-    watch.line(&list(9, true, &backends.entries(rest.iter().copied(), "in_service")));
-    until(|| rest.contains(&served_by(&mut node.client())), "the rest of the list");
+    watch.send_line(&list(9, true, &backends.entries(rest.iter().copied(), "in_service")));
+    wait_until(|| rest.contains(&served_by(&mut node.client())), "the rest of the list");
     let then = used_by(&node);
     assert!(then.iter().all(|number| rest.contains(number)), "{then:?}");
     // An older list changes nothing of it.
-    watch.line(&list(8, true, &backends.entries(0..LISTED, "in_service")));
-    node.logged("an older list was refused");
+    watch.send_line(&list(8, true, &backends.entries(0..LISTED, "in_service")));
+    node.wait_for_log("an older list was refused");
     let then = used_by(&node);
     assert!(then.iter().all(|number| rest.contains(number)), "{then:?}");
 }
@@ -131,7 +131,7 @@
     let (mut node, _watch, _discovery) = start(&backends, 10, 5);
     let before = used_by(&node);
     node.signal("-KILL");
-    node.exit();
+    node.wait_for_exit();
     let (node, _watch, _discovery) = start(&backends, 10, 5);
     let after = used_by(&node);
     let both: BTreeSet<_> = before.union(&after).collect();
@@ -147,8 +147,8 @@
     assert!(used.is_disjoint(&other), "{used:?} {other:?}");
     // By its new settings it stands where the first one does.
     two.reload(&configured(discovery.address, 2, 0));
-    two.logged("told to look again: discovery is at");
-    until(|| used.contains(&served_by(&mut two.client())), "the part of the first node");
+    two.wait_for_log("told to look again: discovery is at");
+    wait_until(|| used.contains(&served_by(&mut two.client())), "the part of the first node");
     let moved = used_by(&two);
     assert!(moved.is_disjoint(&other), "{moved:?} {other:?}");
 }
@@ -171,9 +171,9 @@
     let (node, _watch, discovery) = start(&backends, 2, 0);
     let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
     clients.iter_mut().for_each(Client::send_correct);
-    until(|| asked.load(Ordering::SeqCst) == 8, "the requests at their servers");
+    wait_until(|| asked.load(Ordering::SeqCst) == 8, "the requests at their servers");
     node.reload(&configured(discovery.address, 2, 1));
-    node.logged("told to look again: discovery is at");
+    node.wait_for_log("told to look again: discovery is at");
     *held.0.lock().expect("a lock") = false;
     held.1.notify_all();
     for client in &mut clients {
--- a/tests/spoilt/mod.rs
+++ b/tests/unsolicited/mod.rs
@@ -1,6 +1,6 @@
 //! Backends that write what nobody asked for. How late it may come is tested beside the pool, on a clock that stands.
 
-use crate::sockets::*;
+use crate::harness::*;
 use std::sync::Mutex;
 use std::sync::mpsc::channel;
 
@@ -34,21 +34,21 @@
             }
             None => by_id(message),
         });
-        let (node, _watch, _discovery) = serving(&settings(20_000, ""), &[&backend]);
+        let (node, _watch, _discovery) = serving_node(&settings(20_000, ""), &[&backend]);
         let mut client = node.client();
         let ask = |client: &mut Client| {
-            let headers = common(20_000);
-            let answer = client.ask("POST /correct/1f", &headers, b"sheet");
+            let headers = common_headers(20_000);
+            let answer = client.request("POST /correct/1f", &headers, b"sheet");
             let id = headers.lines().find_map(|line| line.strip_prefix("X-Call-Id: ")).expect("an id");
             assert_eq!((answer.status(), answer.body.as_slice()), (200, id.as_bytes()), "{stray:?}");
         };
         ask(&mut client);
-        let mut late = late.recv_timeout(PATIENCE).expect("the first connection");
+        let mut late = late.recv_timeout(TEST_TIMEOUT).expect("the first connection");
         std::io::Write::write_all(&mut late, stray).expect("the node reads");
-        assert_eq!(backend.closed(), 0, "{stray:?}");
-        node.logged("sent what nobody had asked for");
+        assert_eq!(backend.next_closed(), 0, "{stray:?}");
+        node.wait_for_log("sent what nobody had asked for");
         ask(&mut client);
         ask(&mut client);
-        assert_ne!(backend.request().0, 0, "{stray:?}");
+        assert_ne!(backend.next_request().0, 0, "{stray:?}");
     }
 }
