--- a/crates/lab/benches/module.rs
+++ b/crates/lab/benches/module.rs
@@ -16,22 +16,22 @@
 
 fn settings() -> Settings {
     let class = |repeat| Class {
-        aim: Duration::from_millis(48),
+        latency_target: Duration::from_millis(48),
         deadline: Duration::from_millis(125),
-        repeat,
+        retry_safety: repeat,
         ..Class::default()
     };
-    let keyed = Repeat::Keyed { scope: Scope::Cell, window: Duration::from_secs(12) };
+    let keyed = RetrySafety::Keyed { scope: DedupScope::Cell, window: Duration::from_secs(12) };
     let mut settings = Settings {
         nodes: 300,
-        classes: vec![class(Repeat::Safe), class(keyed)],
-        reports: ReportSource::Probes,
+        classes: vec![class(RetrySafety::Idempotent), class(keyed)],
+        report_source: ReportSource::Probes,
         prices: Prices { probe: 0.002, cross_zone: 0.005, ..Prices::default() },
         ..Settings::default()
     };
     settings.limits.probes = true;
     settings.limits.cancel = true;
-    settings.limits.parallel_attempts = true;
+    settings.limits.hedging = true;
     settings
 }
 
@@ -95,7 +95,7 @@
                     elapsed: ANSWER,
                     finished: true,
                     report: None,
-                    spent: false,
+                    body_consumed: false,
                 }));
                 break;
             }
@@ -105,7 +105,7 @@
                 let report = Some(LoadReport { in_flight: Some(load), ..LoadReport::default() });
                 let elapsed = Duration::from_micros(200);
                 let end = ProbeEnd { server, outcome: Outcome::Served, elapsed, report };
-                actions.extend(self.tell(Event::Probed(end)));
+                actions.extend(self.tell(Event::ProbeEnded(end)));
             }
         }
         self.tell(Event::Timer { token: id.0 });
--- a/crates/lab/src/capacity/decisions/cold.rs
+++ b/crates/lab/src/capacity/decisions/cold.rs
@@ -1,9 +1,9 @@
-//! What cold servers are sent by nodes that draw tickets by chance (`src/policy/cold.rs`). Draws of many nodes are
+//! What cold servers are sent by nodes that draw tickets by chance (`src/policy/slow_start.rs`). Draws of many nodes are
 //! independent, so what one server gets in a window is Poisson; its mean is an upper bound, since a ticket may go unused.
 
 use statrs::distribution::{DiscreteCDF, Poisson};
 
-/// The part of the allowance that is drawn for (`COLD_SPEND` in `src/policy/cold.rs`).
+/// The part of the allowance that is drawn for (`SLOW_START_UTILIZATION` in `src/policy/slow_start.rs`).
 pub const SPEND: f64 = 0.8;
 
 /// A server that has just started, and the rule on it.
--- a/crates/lab/src/capacity/decisions/evidence.rs
+++ b/crates/lab/src/capacity/decisions/evidence.rs
@@ -6,10 +6,10 @@
 /// `src/policy/health.rs`). A connection that fails weighs 1 and ejects at once.
 const FAILURE_WEIGHT: f64 = 0.25;
 const EJECTED_AT: f64 = 0.5;
-/// The part of an answer time for which a report is fresh (`Balancer::fresh` in `src/policy/pick.rs`).
+/// The part of an answer time for which a report is fresh (`Balancer::is_fresh` in `src/policy/selection.rs`).
 const FRESH: f64 = 0.25;
 /// Missed attempts within the memory of rates from which on a server is broken for a class (`MISSED` in
-/// `src/policy/health.rs`), and that memory in times of an overload (`Balancer::memory` in `src/policy/pick.rs`).
+/// `src/policy/health.rs`), and that memory in times of an overload (`Balancer::rate_window` in `src/policy/selection.rs`).
 const MISSED: f64 = 2.0;
 const MEMORY: f64 = 3.0;
 
--- a/crates/lab/src/capacity/decisions/probes.rs
+++ b/crates/lab/src/capacity/decisions/probes.rs
@@ -1,5 +1,5 @@
 //! What probes cost, and what they show. A request earns so many probes as a hundredth of the service pays for at the settings'
-//! price (`PRICE_SPEND` in `src/policy/figures.rs`). They go out two at a time (`probe` in `src/policy/pick.rs`), and a request
+//! price (`COST_BUDGET` in `src/policy/constants.rs`). They go out two at a time (`probe` in `src/policy/selection.rs`), and a request
 //! that is still held asks again.
 
 /// The share of the service that probes may cost.
--- a/crates/lab/src/capacity/decisions/retries.rs
+++ b/crates/lab/src/capacity/decisions/retries.rs
@@ -1,4 +1,4 @@
-//! The retry budget (`RETRY_SHARE` in `src/policy/figures.rs`): a share of first attempts, kept by each node for all that
+//! The retry budget (`RETRY_BUDGET_RATIO` in `src/policy/constants.rs`): a share of first attempts, kept by each node for all that
 //! it serves.
 
 /// Further attempts, as a share of first attempts.
--- a/crates/lab/src/capacity/roles/control.rs
+++ b/crates/lab/src/capacity/roles/control.rs
@@ -10,11 +10,11 @@
 const MOST_PEERS: f64 = hillpick::control::config::MOST_PEERS as f64;
 /// The longest saved file (`LONGEST` in `src/control/saved_file.rs`), in bytes.
 const LONGEST_FILE: f64 = (4 << 20) as f64;
-/// A place of the ring (`Balancer::order`), in bytes: its point and the server's place.
+/// A place of the ring (`Balancer::ready_ring`), in bytes: its point and the server's place.
 const RING_PLACE: f64 = 16.0;
 /// An allowance (`Allowance` in `src/state.rs`), in bytes: what is left, and when that was reckoned.
 const ALLOWANCE: f64 = 24.0;
-/// Shares of attempts in time by crowding (`Balancer::in_time`), 64 of 8 bytes.
+/// Shares of attempts in time by crowding (`Balancer::in_time_by_load`), 64 of 8 bytes.
 const IN_TIME: f64 = 512.0;
 /// What a member takes where 200 are known (`crates/fleet/tests/memory.rs` prints it; docs/membership.md), in bytes.
 const MEMBER: f64 = 306.0;
--- a/crates/lab/src/capacity/roles/costs.rs
+++ b/crates/lab/src/capacity/roles/costs.rs
@@ -6,7 +6,7 @@
 use crate::capacity::size::Capacity;
 use crate::capacity::table::number;
 
-/// Servers that the module compares at most (`LEVELS` in `src/policy/figures.rs`), so the subset that it uses today.
+/// Servers that the module compares at most (`LOAD_LEVELS` in `src/policy/constants.rs`), so the subset that it uses today.
 pub const COMPARED: f64 = 64.0;
 /// Bytes in a MB.
 pub const MB: f64 = 1e6;
--- a/crates/lab/src/emu/clients.rs
+++ b/crates/lab/src/emu/clients.rs
@@ -5,7 +5,7 @@
 use super::world::*;
 use crate::judge::{Cause, Closed};
 use crate::time::{FOREVER, Nanos, in_secs, secs};
-use hillpick::{Event, NewRequest, Repeat, RequestId, Scope};
+use hillpick::{Event, NewRequest, RetrySafety, RequestId, DedupScope};
 use rand::Rng;
 use rand_distr::{Distribution, Exp1};
 
@@ -270,11 +270,11 @@
         let request = &self.requests[number as usize];
         let class = &self.plan.classes[usize::from(request.class)];
         let repeats = match class.repeat {
-            Repeat::Safe => true,
-            Repeat::Keyed { scope: Scope::All, window } => {
+            RetrySafety::Idempotent => true,
+            RetrySafety::Keyed { scope: DedupScope::All, window } => {
                 harmless || u128::from(self.now - request.asked) < window.as_nanos()
             }
-            Repeat::Keyed { .. } | Repeat::Unsafe => harmless,
+            RetrySafety::Keyed { .. } | RetrySafety::NonIdempotent => harmless,
         };
         let clients = &self.plan.experiment.clients;
         let storm = self.trouble.storm.iter().map(|(_, retries)| *retries).max();
--- a/crates/lab/src/emu/nodes.rs
+++ b/crates/lab/src/emu/nodes.rs
@@ -9,7 +9,7 @@
 use crate::strategy::Found;
 use crate::time::{FOREVER, Nanos, duration, millis, secs};
 use hillpick::{
-    Action, AttemptEnd, Event, ListKind, LoadReport, Outcome, ProbeEnd, Repeat, RequestId, Scope, ServerId,
+    Action, AttemptEnd, Event, ListKind, LoadReport, Outcome, ProbeEnd, RetrySafety, RequestId, DedupScope, ServerId,
 };
 use hillpick_fleet::Cause;
 use rand::Rng;
@@ -279,7 +279,7 @@
                     self.disconnect(server, &idle);
                 }
             }
-            Action::Tell { to, data } => self.send_datagram(node, to, data),
+            Action::SendToPeer { to, data } => self.send_datagram(node, to, data),
             // The feed pushes: nothing to ask for.
             Action::Subscribe { .. } | Action::FetchList => {}
             Action::Log { text } => tracing::debug!(node, "{text}"),
@@ -313,7 +313,7 @@
         let it = &self.tries[of as usize];
         let class = usize::from(self.requests[it.request as usize].class);
         let harmless = match self.plan.classes[class].repeat {
-            Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. } => true,
+            RetrySafety::Idempotent | RetrySafety::Keyed { scope: DedupScope::All, .. } => true,
             _ => !it.attempts.iter().any(|a| self.attempts[*a as usize].may_have_run()),
         };
         if !harmless && !it.left {
@@ -375,18 +375,18 @@
         let Some(first) = attempts().find(|a| a.may_have_run()) else { return };
         let (home, there) = (&self.servers[first.server as usize], &self.servers[server as usize]);
         let allowed = match class.repeat {
-            Repeat::Safe => true,
-            Repeat::Unsafe => false,
-            Repeat::Keyed { scope, window } => {
+            RetrySafety::Idempotent => true,
+            RetrySafety::NonIdempotent => false,
+            RetrySafety::Keyed { scope, window } => {
                 let together = match scope {
-                    Scope::All => true,
-                    Scope::Zone => home.zone == there.zone,
-                    Scope::Cell => home.cell == there.cell,
+                    DedupScope::All => true,
+                    DedupScope::Zone => home.zone == there.zone,
+                    DedupScope::Cell => home.cell == there.cell,
                 };
                 together && self.now <= first.sent + span(window)
             }
         };
-        let parallel = parallel && !self.plan.settings.limits.parallel_attempts;
+        let parallel = parallel && !self.plan.settings.limits.hedging;
         if !allowed {
             self.broke(Rule::Duplicate, id, node, format!("sent to server {server} though it may have run"));
         } else if parallel {
@@ -541,7 +541,7 @@
             elapsed: duration(self.now - it.sent),
             finished,
             report: load.map(report),
-            spent: false,
+            body_consumed: false,
         })
     }
 
@@ -617,7 +617,7 @@
                 elapsed: duration(self.now - sent),
                 report: load.map(report),
             };
-            self.tell(node, Event::Probed(end));
+            self.tell(node, Event::ProbeEnded(end));
         }
     }
 
@@ -657,7 +657,7 @@
 
     /// A datagram is at a node, which hears it if it runs.
     pub fn datagram(&mut self, node: NodeNo, from: NodeNo, data: &[u8]) {
-        self.tell(node, Event::Peer { from, data: data.to_vec() });
+        self.tell(node, Event::PeerMessage { from, data: data.to_vec() });
     }
 }
 
--- a/crates/lab/src/emu/plan.rs
+++ b/crates/lab/src/emu/plan.rs
@@ -9,7 +9,7 @@
 use crate::size::Size;
 use crate::spec::{Experiment, Repeat, Reports};
 use crate::time::{FOREVER, Nanos, millis, secs};
-use hillpick::{Limits, ReportSource, Rules, Scope, Settings, Zones};
+use hillpick::{Limits, ReportSource, Rules, DedupScope, Settings, Zones};
 use rand_distr::LogNormal;
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
     /// How long a client waits in all.
     pub deadline: Nanos,
     /// How far it may be repeated.
-    pub repeat: hillpick::Repeat,
+    pub repeat: hillpick::RetrySafety,
 }
 
 /// All that stays the same during a run.
@@ -208,13 +208,13 @@
         Zones {
             round_trip: all.map(|to| Duration::from_nanos(2 * self.latency(zone, to))).collect(),
             region: self.region_of.iter().map(|region| *region as u16).collect(),
-            return_time: RETURN,
+            failback_time: RETURN,
         }
     }
 
     /// What tenants may ask for inside their shares: what the settings tell the nodes.
     pub fn allowances(&self) -> Allowances {
-        let each = self.settings.tenants.first().map_or(0.0, |tenant| tenant.allowance_per_s);
+        let each = self.settings.tenants.first().map_or(0.0, |tenant| tenant.rate_limit_per_s);
         Allowances::new(self.settings.tenants.len(), each)
     }
 
@@ -236,14 +236,14 @@
 }
 
 /// How the module words it.
-pub fn repeat(repeat: Repeat, window_s: f64) -> hillpick::Repeat {
-    let keyed = |scope| hillpick::Repeat::Keyed { scope, window: crate::time::duration(secs(window_s)) };
+pub fn repeat(repeat: Repeat, window_s: f64) -> hillpick::RetrySafety {
+    let keyed = |scope| hillpick::RetrySafety::Keyed { scope, window: crate::time::duration(secs(window_s)) };
     match repeat {
-        Repeat::Safe => hillpick::Repeat::Safe,
-        Repeat::Unsafe => hillpick::Repeat::Unsafe,
-        Repeat::KeyedAll => keyed(Scope::All),
-        Repeat::KeyedZone => keyed(Scope::Zone),
-        Repeat::KeyedCell => keyed(Scope::Cell),
+        Repeat::Safe => hillpick::RetrySafety::Idempotent,
+        Repeat::Unsafe => hillpick::RetrySafety::NonIdempotent,
+        Repeat::KeyedAll => keyed(DedupScope::All),
+        Repeat::KeyedZone => keyed(DedupScope::Zone),
+        Repeat::KeyedCell => keyed(DedupScope::Cell),
     }
 }
 
@@ -257,23 +257,23 @@
         classes: classes
             .iter()
             .map(|class| hillpick::Class {
-                aim: time(class.aim),
+                latency_target: time(class.aim),
                 deadline: time(class.deadline),
-                worth: class.worth,
-                repeat: class.repeat,
+                value: class.worth,
+                retry_safety: class.repeat,
                 ..hillpick::Class::default()
             })
             .collect(),
         tenants: vec![
             hillpick::Tenant {
-                allowance_per_s: clients.per_node_per_s * size.nodes as f64 / tenants.max(1) as f64,
+                rate_limit_per_s: clients.per_node_per_s * size.nodes as f64 / tenants.max(1) as f64,
                 share: 1.0 / tenants.max(1) as f64,
             };
             tenants
         ],
-        over_share_worth: clients.over_share_worth,
-        worth_by_work: true,
-        reports: match servers.reports {
+        over_share_value: clients.over_share_worth,
+        value_by_work: true,
+        report_source: match servers.reports {
             Reports::Answers => ReportSource::Answers,
             Reports::Probes => ReportSource::Probes,
             Reports::None | Reports::IdleSigns => ReportSource::None,
@@ -282,14 +282,14 @@
             max_attempts: nodes.attempts,
             cancel: true,
             probes: servers.reports == Reports::Probes,
-            parallel_attempts: nodes.parallel,
+            hedging: nodes.parallel,
             max_retry_after: (clients.max_retry_after_s > 0.0).then(|| time(secs(clients.max_retry_after_s))),
             connect_timeout: time(millis(nodes.connect_timeout_ms)),
         },
         rules: Rules {
             drain_grace: time(secs(experiment.list.drain_grace_s)),
-            cold_share: servers.cold_share,
-            warm_after: time(secs(servers.warm_s)),
+            cold_capacity: servers.cold_share,
+            warm_up_time: time(secs(servers.warm_s)),
             overload_factor: servers.tip_factor,
             overload_time: time(secs(servers.tip_s)),
             ..Settings::default().rules
--- a/crates/lab/src/emu/servers.rs
+++ b/crates/lab/src/emu/servers.rs
@@ -111,7 +111,7 @@
 
     /// The load that goes with an answer, where that is how it is told.
     fn told_with_answers(&self, server: ServerNo) -> Option<f32> {
-        let told = self.plan.settings.reports == hillpick::ReportSource::Answers;
+        let told = self.plan.settings.report_source == hillpick::ReportSource::Answers;
         told.then(|| self.servers[server as usize].held() as f32)
     }
 
@@ -207,7 +207,7 @@
                 elapsed: Duration::ZERO,
                 report: Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() }),
             };
-            self.tell(node, Event::Probed(end));
+            self.tell(node, Event::ProbeEnded(end));
         }
         self.next_sign(server);
     }
--- a/crates/lab/src/judge.rs
+++ b/crates/lab/src/judge.rs
@@ -14,7 +14,7 @@
 pub const PRICES: Prices =
     Prices { probe: 0.002, cross_zone: 0.005, waste: 0.05, late_failure: 0.05, connections: 0.0 };
 /// Likewise.
-pub const GOAL: Goal = Goal { whole: 0.55, worst_window: 0.15, worst_class: 0.3, worst_tenant: 0.0 };
+pub const GOAL: Goal = Goal { overall: 0.55, worst_window: 0.15, worst_class: 0.3, worst_tenant: 0.0 };
 
 /// The figures of a run that expectations may name.
 pub const FIGURES: [&str; 46] = [
@@ -330,7 +330,7 @@
     /// Nodes.
     pub nodes: usize,
     /// The classes: their names, and how far they may be repeated.
-    pub classes: &'a [(String, hillpick::Repeat)],
+    pub classes: &'a [(String, hillpick::RetrySafety)],
     /// The names of the zones.
     pub zones: &'a [String],
     /// Each fault's name, begin and end.
@@ -455,7 +455,7 @@
         let waste = (tally.work_done - tally.work_served) / tally.work_asked;
         let (cross_zone, probes) = (share(tally.cross_zone), share(tally.probes));
         let (goal, prices) = (GOAL, PRICES);
-        let g = goal.whole * served + goal.worst_window * worst_10s + goal.worst_class * worst_class
+        let g = goal.overall * served + goal.worst_window * worst_10s + goal.worst_class * worst_class
             - prices.cross_zone * cross_zone
             - prices.probe * probes
             - prices.waste * waste.max(0.0);
--- a/crates/lab/src/rig/books.rs
+++ b/crates/lab/src/rig/books.rs
@@ -4,7 +4,7 @@
 use crate::cold::{Cold, ColdModel};
 use crate::judge::{Cause, Judge, Rule};
 use crate::time::{Nanos, duration};
-use hillpick::{Repeat, Scope};
+use hillpick::{RetrySafety, DedupScope};
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -70,7 +70,7 @@
 /// The books of a rig.
 pub struct Books {
     started: Instant,
-    repeats: Vec<Repeat>,
+    repeats: Vec<RetrySafety>,
     drain_grace: Duration,
     cold: ColdModel,
     zones: Zones,
@@ -83,7 +83,7 @@
     /// Empty ones.
     pub fn new(
         judge: Judge,
-        repeats: Vec<Repeat>,
+        repeats: Vec<RetrySafety>,
         drain_grace: Duration,
         cold: ColdModel,
         zones: Zones,
@@ -259,13 +259,13 @@
         let first = asked.ran[0];
         let allowed = asked.ran.len() == 1
             || match self.repeats[asked.class] {
-                Repeat::Safe => true,
-                Repeat::Unsafe => false,
-                Repeat::Keyed { scope, window } => {
+                RetrySafety::Idempotent => true,
+                RetrySafety::NonIdempotent => false,
+                RetrySafety::Keyed { scope, window } => {
                     let together = match scope {
-                        Scope::All => true,
-                        Scope::Zone => first.zone == zone,
-                        Scope::Cell => first.cell == cell,
+                        DedupScope::All => true,
+                        DedupScope::Zone => first.zone == zone,
+                        DedupScope::Cell => first.cell == cell,
                     };
                     together && duration(at - first.at) <= window + SLACK
                 }
@@ -313,7 +313,7 @@
         let Some(asked) = kept.asked.get_mut(id) else { return };
         kept.judge.tally.refused_unsent += u64::from(!asked.sent_on);
         let harmless =
-            matches!(self.repeats[asked.class], Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. });
+            matches!(self.repeats[asked.class], RetrySafety::Idempotent | RetrySafety::Keyed { scope: DedupScope::All, .. });
         if asked.ran.is_empty() {
             asked.cause = asked.cause.max(Cause::RefusedFull);
         } else if !harmless {
@@ -362,13 +362,13 @@
 
     /// Two nodes and three servers; classes: safe, unsafe, keyed in a cell.
     fn books() -> Books {
-        let keyed = Repeat::Keyed { scope: Scope::Cell, window: WINDOW };
+        let keyed = RetrySafety::Keyed { scope: DedupScope::Cell, window: WINDOW };
         // A tenth of a core for a long time: three times that over 3 s are nine requests, and twelve more by chance.
         let cold =
             ColdModel { factor: 3.0, over: 3 * SECOND, unit: 0.1, cold_share: 0.1, warm: 10_000 * SECOND };
         let zones = Zones { nodes: vec![0, 1], servers: vec![0, 1, 0] };
         let judge = Judge::new(7, SECOND, 3, 2);
-        let books = Books::new(judge, vec![Repeat::Safe, Repeat::Unsafe, keyed], Duration::ZERO, cold, zones);
+        let books = Books::new(judge, vec![RetrySafety::Idempotent, RetrySafety::NonIdempotent, keyed], Duration::ZERO, cold, zones);
         for (id, class) in [("1", 0), ("2", 1), ("3", 2)] {
             books.ask(id, class, 0, WORK);
         }
--- a/crates/lab/src/rig/clients.rs
+++ b/crates/lab/src/rig/clients.rs
@@ -37,7 +37,7 @@
     /// How long a client waits in all.
     pub deadline: Duration,
     /// How far it may be repeated.
-    pub repeat: hillpick::Repeat,
+    pub repeat: hillpick::RetrySafety,
 }
 
 /// A node as the front sees it.
@@ -171,7 +171,7 @@
             };
             let (id, tried) = self.try_it(class, node, work, duration(ends - now)).await;
             cause = cause.max(self.books.asked(&id).map_or(cause, |asked| asked.cause));
-            let safe = terms.repeat == hillpick::Repeat::Safe;
+            let safe = terms.repeat == hillpick::RetrySafety::Idempotent;
             let wait = match tried {
                 Tried::Served => {
                     let now = self.books.now();
@@ -292,7 +292,7 @@
         left: Duration,
     ) -> Result<Tried, Failure> {
         let terms = &self.classes[class];
-        let safe = terms.repeat == hillpick::Repeat::Safe;
+        let safe = terms.repeat == hillpick::RetrySafety::Idempotent;
         let mut request = Request::builder()
             .method(if safe { Method::GET } else { Method::POST })
             .uri(format!("/{}", terms.name))
--- a/crates/lab/src/rig/mod.rs
+++ b/crates/lab/src/rig/mod.rs
@@ -602,7 +602,7 @@
     }
 
     /// The end of the day: every node is told to stop, and what came of it is added up.
-    async fn end(&self, empty: Judge, names: Vec<(String, hillpick::Repeat)>) -> io::Result<Outcome> {
+    async fn end(&self, empty: Judge, names: Vec<(String, hillpick::RetrySafety)>) -> io::Result<Outcome> {
         let (mut processes, mut crashes) = (Vec::new(), 0);
         for host in &self.hosts {
             let mut host = host.lock().await;
--- a/crates/lab/src/rig/servers.rs
+++ b/crates/lab/src/rig/servers.rs
@@ -270,7 +270,7 @@
         };
         let judge = Judge::new(1, SECOND, 1, 1);
         let zones = Zones { nodes: vec![0], servers: vec![0] };
-        let repeats = vec![hillpick::Repeat::Safe];
+        let repeats = vec![hillpick::RetrySafety::Idempotent];
         let books = Arc::new(Books::new(judge, repeats, Duration::ZERO, cold, zones));
         books.ask("1", 0, 0, Duration::from_secs(120));
         let target = Target::default();
--- a/crates/lab/src/scale/configuration/tests.rs
+++ b/crates/lab/src/scale/configuration/tests.rs
@@ -13,5 +13,5 @@
     assert_eq!((settings.classes.len(), settings.tenants.len()), (12, 30));
     assert_eq!(config.fleet.unwrap().listen, "127.0.3.1:0".parse().unwrap());
     let later = Config::parse(&Settings::new(shape, 4).text(&own)).unwrap();
-    assert_ne!(later.site.settings.classes[0].aim, settings.classes[0].aim);
+    assert_ne!(later.site.settings.classes[0].latency_target, settings.classes[0].latency_target);
 }
--- a/crates/lab/src/scale/hollow/membership.rs
+++ b/crates/lab/src/scale/hollow/membership.rs
@@ -3,7 +3,7 @@
 
 use super::node::Message;
 use super::state::{Seen, Shared};
-use hillpick::Tier;
+use hillpick::FleetView;
 use hillpick::control::config::Fleet;
 use hillpick_fleet::{Address, Certainty, DATAGRAM, Identity, Membership, Name, Output, Settings};
 use std::cell::RefCell;
@@ -29,7 +29,7 @@
     messages: mpsc::Sender<Message>,
     shared: Rc<Shared>,
     seen: Rc<RefCell<Seen>>,
-    told: Option<Tier>,
+    told: Option<FleetView>,
 }
 
 /// A node's place among the members.
@@ -111,7 +111,7 @@
         let mut core = self.core.borrow_mut();
         let displaced = core.displaced().is_some();
         let agreement = core.agreement(self.begun.elapsed());
-        let tier = Tier {
+        let tier = FleetView {
             live: agreement.members as u32,
             rank: core.rank() as u32,
             agreed: agreement.certainty == Certainty::Agreed && !displaced,
--- a/crates/lab/src/scale/hollow/mod.rs
+++ b/crates/lab/src/scale/hollow/mod.rs
@@ -9,7 +9,7 @@
 use hillpick::control::clock::Clock;
 use hillpick::control::config::{Config, Current};
 use hillpick::control::discovery::Discovery;
-use hillpick::settings::Replacement;
+use hillpick::settings::SettingsUpdate;
 use hillpick_fleet::{Membership, Name};
 use membership::{Member, Place, carry_out};
 use node::{Message, Node, Surroundings};
@@ -148,8 +148,8 @@
             match Config::parse(text) {
                 Ok(mut config) => {
                     // Nobody else has it yet, so that nothing is copied.
-                    Arc::make_mut(&mut config.site).number_as(&life.config.site);
-                    let replacement = Replacement::new(config.site.clone(), &life.config.site);
+                    Arc::make_mut(&mut config.site).keep_numbering(&life.config.site);
+                    let replacement = SettingsUpdate::new(config.site.clone(), &life.config.site);
                     life.current.set(config.site.clone());
                     let told = Message::Settings(Box::new(replacement), version, made_ms);
                     life.config = config;
--- a/crates/lab/src/scale/hollow/node.rs
+++ b/crates/lab/src/scale/hollow/node.rs
@@ -7,10 +7,10 @@
 use hillpick::control::config::Config;
 use hillpick::control::roster::{Roster, SubsetUpdate};
 use hillpick::control::updates::{DiscoveryCommand, ListUpdate};
-use hillpick::settings::{Replacement, Site};
+use hillpick::settings::{SettingsUpdate, SiteSettings};
 use hillpick::{
     Action, AttemptEnd, Balancer, Event, ListKind, LoadReport, NewRequest, Outcome, ProbeEnd, RequestId,
-    ServerId, Tier,
+    ServerId, FleetView,
 };
 use rand::Rng;
 use rand_distr::{Distribution, Exp1};
@@ -32,9 +32,9 @@
     /// News of the list.
     List(ListUpdate),
     /// News of the tier.
-    Tier(Tier),
+    Tier(FleetView),
     /// Other settings: their version, and when they were made, in ms of Unix time.
-    Settings(Box<Replacement>, u32, u64),
+    Settings(Box<SettingsUpdate>, u32, u64),
 }
 
 impl From<ListUpdate> for Message {
@@ -70,7 +70,7 @@
     /// When it began to start.
     began: Duration,
     balancer: Balancer,
-    site: Arc<Site>,
+    site: Arc<SiteSettings>,
     discovery: mpsc::Sender<DiscoveryCommand>,
     roster: Option<Roster>,
     listed: Rc<Cell<bool>>,
@@ -154,13 +154,13 @@
         match message {
             Message::List(update) => self.take_list(update),
             Message::Tier(tier) => {
-                self.decide(Event::Tier(tier));
+                self.decide(Event::FleetView(tier));
                 self.move_subset();
             }
             Message::Settings(replacement, version, made_ms) => {
-                let Replacement { site, settings, classes, tenants } = *replacement;
+                let SettingsUpdate { site, settings, previous_classes: classes, previous_tenants: tenants } = *replacement;
                 self.site = site;
-                self.decide(Event::Settings { settings, classes, tenants });
+                self.decide(Event::Settings { settings, previous_classes: classes, previous_tenants: tenants });
                 self.move_subset();
                 self.seen.borrow_mut().settings = version;
                 self.shared.settings.borrow_mut().note(made_ms, self.clock.now().as_millis() as u64);
@@ -201,7 +201,7 @@
     }
 
     fn take_subset(&mut self, told: SubsetUpdate) {
-        self.decide(Event::Rings(told.rings));
+        self.decide(Event::SubsetRings(told.rings));
         self.tell(told.update);
     }
 
@@ -289,7 +289,7 @@
             }
             Action::Subscribe { on } => self.order(DiscoveryCommand::Subscribe(on)),
             Action::FetchList => self.order(DiscoveryCommand::Fetch),
-            Action::CloseIdle { .. } | Action::Tell { .. } | Action::Log { .. } => {}
+            Action::CloseIdle { .. } | Action::SendToPeer { .. } | Action::Log { .. } => {}
         }
         None
     }
@@ -341,7 +341,7 @@
             elapsed,
             finished,
             report: None,
-            spent: false,
+            body_consumed: false,
         }))
     }
 
@@ -370,6 +370,6 @@
         let report = LoadReport { in_flight: Some(1.0), queue: Some(0.0), ..LoadReport::default() };
         let elapsed = Duration::from_secs_f64(WORK_MS / 1e3);
         let outcome = Outcome::Served;
-        self.decide(Event::Probed(ProbeEnd { server, outcome, elapsed, report: Some(report) }));
+        self.decide(Event::ProbeEnded(ProbeEnd { server, outcome, elapsed, report: Some(report) }));
     }
 }
--- a/crates/lab/src/scale/measure.rs
+++ b/crates/lab/src/scale/measure.rs
@@ -81,7 +81,7 @@
         let mut update = ListUpdate { kind: update.kind, backends: update.backends.clone() };
         if let Some(roster) = &mut roster {
             let told = roster.take(update, balancer.ring_layout());
-            balancer.handle(clock.now(), Event::Rings(told.rings), &mut actions);
+            balancer.handle(clock.now(), Event::SubsetRings(told.rings), &mut actions);
             update = told.update;
         }
         let entries = update.backends.into_iter().map(|backend| backend.entry).collect();
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -12,7 +12,7 @@
 use crate::rig::relay::{Path as Way, Target};
 use crate::rig::servers::{self, Server};
 use crate::time::{Nanos, SECOND, secs};
-use hillpick::Repeat;
+use hillpick::RetrySafety;
 use rand_distr::{Distribution, Exp1};
 use std::io;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
         };
         let zones = Zones { nodes: vec![0; nodes as usize], servers: vec![0; count as usize] };
         let classes = routes.min(ROUTES_USED) as usize;
-        let repeats = vec![Repeat::Safe; classes];
+        let repeats = vec![RetrySafety::Idempotent; classes];
         let grace = Duration::from_secs_f64(super::configuration::DRAIN_GRACE_MS / 1e3);
         let books = Arc::new(Books::new(judge(seed, seconds, classes), repeats, grace, cold, zones));
         let (mut all, mut addresses) = (Vec::new(), Vec::new());
@@ -192,7 +192,7 @@
             unit,
             aim: Duration::from_millis(200),
             deadline: Duration::from_secs_f64(GIVE_UP_MS / 1e3),
-            repeat: Repeat::Safe,
+            repeat: RetrySafety::Idempotent,
         };
         let clients = Arc::new(Clients {
             books: stand_ins.books.clone(),
@@ -221,7 +221,7 @@
         let seconds = (self.books.now() - self.begun) as f64 / SECOND as f64;
         let (judge, server_work) = self.books.close(judge(self.seed, 1.0, self.classes));
         let tries = judge.tally.tries as f64;
-        let names: Vec<_> = (0..self.classes).map(|route| (format!("route-{route}"), Repeat::Safe)).collect();
+        let names: Vec<_> = (0..self.classes).map(|route| (format!("route-{route}"), RetrySafety::Idempotent)).collect();
         let outcome = judge.outcome(Run {
             strategy: "sillward".into(),
             size: format!("{}x0", self.nodes),
--- a/crates/lab/src/shares.rs
+++ b/crates/lab/src/shares.rs
@@ -2,7 +2,7 @@
 //! least part. It is told of each request's end by the judge.
 
 use crate::time::{Nanos, in_secs};
-use hillpick::Repeat;
+use hillpick::RetrySafety;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -82,8 +82,8 @@
 }
 
 /// The parts of the classes; those that may not simply be repeated are held whatever their size.
-pub fn of_classes(books: &[Window], repeats: &[Repeat], requests: u64) -> Vec<Option<Part>> {
-    let guarded = |class: usize| repeats.get(class).is_some_and(|repeat| *repeat != Repeat::Safe);
+pub fn of_classes(books: &[Window], repeats: &[RetrySafety], requests: u64) -> Vec<Option<Part>> {
+    let guarded = |class: usize| repeats.get(class).is_some_and(|repeat| *repeat != RetrySafety::Idempotent);
     parts(books, requests, true, guarded)
 }
 
@@ -159,8 +159,8 @@
             window(1.0, 0.1, 5),
             window(1.0, 0.0, 10),
         ];
-        let keyed = Repeat::Keyed { scope: hillpick::Scope::Cell, window: std::time::Duration::ZERO };
-        let safe = Repeat::Safe;
+        let keyed = RetrySafety::Keyed { scope: hillpick::DedupScope::Cell, window: std::time::Duration::ZERO };
+        let safe = RetrySafety::Idempotent;
         let classes = of_classes(&books, &[safe, safe, safe, keyed, safe], 1000);
         let held = |parts: &[Option<Part>]| parts.iter().flatten().map(|part| part.held).collect::<Vec<_>>();
         assert_eq!(held(&classes), [true, true, true, true, false]);
--- a/crates/lab/src/strategy/members.rs
+++ b/crates/lab/src/strategy/members.rs
@@ -2,7 +2,7 @@
 //! emulated network. The module hears of the fleet; nothing else of it differs.
 
 use super::Strategy;
-use hillpick::{Action, Balancer, Event, Settings, Tier};
+use hillpick::{Action, Balancer, Event, Settings, FleetView};
 use hillpick_fleet::{Address, Cause, Certainty, Identity, Membership, Name, Output, Settings as Members};
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     members: Option<Membership>,
     wake: Option<Duration>,
     tell_at: Duration,
-    told: Option<Tier>,
+    told: Option<FleetView>,
     found: Vec<Found>,
 }
 
@@ -72,7 +72,7 @@
         for output in out {
             match output {
                 Output::Send { to: Address::Node(number), data } => {
-                    actions.push(Action::Tell { to: Some(number.into()), data });
+                    actions.push(Action::SendToPeer { to: Some(number.into()), data });
                 }
                 Output::Changed(change) => {
                     let who = String::from(change.member.name);
@@ -87,7 +87,7 @@
     fn tell(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(members) = &mut self.members else { return };
         let agreement = members.agreement(now);
-        let tier = Tier {
+        let tier = FleetView {
             live: agreement.members as u32,
             rank: members.rank() as u32,
             agreed: agreement.certainty == Certainty::Agreed,
@@ -95,7 +95,7 @@
         };
         if self.told != Some(tier) {
             self.told = Some(tier);
-            self.balancer.handle(now, Event::Tier(tier), actions);
+            self.balancer.handle(now, Event::FleetView(tier), actions);
         }
     }
 }
@@ -108,7 +108,7 @@
         }
         let Some(members) = &mut self.members else { return };
         match event {
-            Event::Peer { data, .. } => members.hear(now, &data, &mut out),
+            Event::PeerMessage { data, .. } => members.hear(now, &data, &mut out),
             Event::Timer { token: TOKEN } => {
                 self.wake = None;
                 members.tick(now, &mut out);
--- a/crates/lab/src/strategy/plain.rs
+++ b/crates/lab/src/strategy/plain.rs
@@ -2,7 +2,7 @@
 //! every request once and never repeat one, so rules 1 and 2 hold; rule 4 is not looked after.
 
 use super::Strategy;
-use hillpick::{Action, Event, ListKind, Outcome, Repeat, RequestId, Scope, ServerId, ServerState, Settings};
+use hillpick::{Action, Event, ListKind, Outcome, RetrySafety, RequestId, DedupScope, ServerId, ServerState, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
@@ -113,8 +113,8 @@
     /// Refused if to try again is harmless, else failed.
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.remove(&id) else { return };
-        let repeat = self.settings.classes.get(open.class).map(|class| class.repeat);
-        let harmless = matches!(repeat, Some(Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. }));
+        let repeat = self.settings.classes.get(open.class).map(|class| class.retry_safety);
+        let harmless = matches!(repeat, Some(RetrySafety::Idempotent | RetrySafety::Keyed { scope: DedupScope::All, .. }));
         let retry_after = self.settings.limits.max_retry_after;
         actions.push(if harmless || !open.may_have_run {
             Action::Refuse { id, retry_after }
@@ -167,7 +167,7 @@
                     self.give_up(end.id, actions);
                 }
             }
-            Event::Probed(end) => {
+            Event::ProbeEnded(end) => {
                 if let Some(place) = self.places.get(&end.server) {
                     self.pick.idle(*place);
                 }
--- a/crates/lab/src/strategy/seeing.rs
+++ b/crates/lab/src/strategy/seeing.rs
@@ -5,7 +5,7 @@
 //! simply be repeated, and knows nothing of cold budgets.
 
 use super::{Board, Strategy};
-use hillpick::{Action, Event, ListKind, Repeat, RequestId, ServerId, ServerState, Settings};
+use hillpick::{Action, Event, ListKind, RetrySafety, RequestId, ServerId, ServerState, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -112,8 +112,8 @@
             }
             Event::AttemptEnded(end) => {
                 let Some(open) = self.open.get(&end.id) else { return };
-                let repeat = self.settings.classes.get(open.class).map(|class| class.repeat);
-                if end.outcome.never_ran() || repeat == Some(Repeat::Safe) {
+                let repeat = self.settings.classes.get(open.class).map(|class| class.retry_safety);
+                if end.outcome.never_ran() || repeat == Some(RetrySafety::Idempotent) {
                     self.go(end.id, actions);
                 } else {
                     self.open.remove(&end.id);
--- a/crates/lab/tests/emulator.rs
+++ b/crates/lab/tests/emulator.rs
@@ -175,14 +175,14 @@
 fn datagrams_are_bounded() {
     let long = |state: &mut State, event: Event, actions: &mut Vec<Action>| {
         if matches!(event, Event::Request(_)) {
-            actions.push(Action::Tell { to: None, data: vec![0; 257] });
+            actions.push(Action::SendToPeer { to: None, data: vec![0; 257] });
         }
         honest(state, event, actions);
     };
     assert_eq!(broken_by("", long), [Rule::Form]);
     let short = |state: &mut State, event: Event, actions: &mut Vec<Action>| {
         if matches!(event, Event::Request(_)) {
-            actions.push(Action::Tell { to: Some(1), data: vec![0; 256] });
+            actions.push(Action::SendToPeer { to: Some(1), data: vec![0; 256] });
         }
         honest(state, event, actions);
     };
--- a/src/bin/hillpick-benchlink/main.rs
+++ b/src/bin/hillpick-benchlink/main.rs
@@ -4,7 +4,7 @@
 
 mod wire;
 
-use hillpick::settings::{self, Column};
+use hillpick::settings::{self, ReportColumn};
 use hillpick::{Balancer, Event};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Read, Write};
@@ -16,7 +16,7 @@
 /// A running instance.
 struct Instance {
     balancer: Balancer,
-    columns: Vec<Column>,
+    columns: Vec<ReportColumn>,
 }
 
 impl Instance {
@@ -35,7 +35,7 @@
         let report = raw.map(|raw| named_report(raw, &self.columns));
         match &mut event {
             Event::AttemptEnded(end) => end.report = report,
-            Event::Probed(end) => end.report = report,
+            Event::ProbeEnded(end) => end.report = report,
             _ => {}
         }
         let mut actions = Vec::new();
--- a/src/bin/hillpick-benchlink/wire.rs
+++ b/src/bin/hillpick-benchlink/wire.rs
@@ -1,6 +1,6 @@
 //! The simulator's frames: batches of events in, one reply with actions for each.
 
-use hillpick::settings::{Column, millis};
+use hillpick::settings::{ReportColumn, millis};
 use hillpick::{
     Action, AttemptEnd, Event, ListKind, LoadReport, NewRequest, Outcome, ProbeEnd, RequestId, ServerEntry,
     ServerId, ServerState,
@@ -89,8 +89,8 @@
             plain(Event::Request(NewRequest {
                 id: id(),
                 class: at.u16(11).into(),
-                terms: None,
-                arriving: false,
+                policy: None,
+                body_streaming: false,
                 tenant: at.u16(13).into(),
                 key: at.u64(15),
                 remaining: millis(at.f64(23)),
@@ -98,7 +98,7 @@
                 client_retry: flags & 2 != 0,
             }))
         }
-        4 => plain(Event::Started { id: id(), attempt: at.u8(19).into(), server: at.server(20) }),
+        4 => plain(Event::AnswerStarted { id: id(), attempt: at.u8(19).into(), server: at.server(20) }),
         5 => Ok(Input::Event(
             Event::AttemptEnded(AttemptEnd {
                 id: id(),
@@ -108,14 +108,14 @@
                 elapsed: millis(at.f64(19)),
                 finished: at.u8(27) != 0,
                 report: None,
-                spent: false,
+                body_consumed: false,
             }),
             at.report(28)?,
         )),
         6 => plain(Event::ClientGone { id: id() }),
         7 => plain(Event::Timer { token: at.u64(3) }),
         8 => Ok(Input::Event(
-            Event::Probed(ProbeEnd {
+            Event::ProbeEnded(ProbeEnd {
                 server: at.server(3),
                 outcome: outcome(at.u8(9))?,
                 elapsed: millis(at.f64(10)),
@@ -123,7 +123,7 @@
             }),
             at.report(18)?,
         )),
-        9 => plain(Event::Peer { from: at.u32(3), data: slice(tail, at, 7, 1)?.to_vec() }),
+        9 => plain(Event::PeerMessage { from: at.u32(3), data: slice(tail, at, 7, 1)?.to_vec() }),
         10 => Ok(Input::Stop),
         code => Err(format!("unknown event code {code}")),
     }
@@ -166,7 +166,7 @@
 }
 
 /// Gives the values of a report their names.
-pub fn named_report((values, count): RawReport, columns: &[Column]) -> LoadReport {
+pub fn named_report((values, count): RawReport, columns: &[ReportColumn]) -> LoadReport {
     let mut report = LoadReport::default();
     for (column, value) in columns.iter().zip(&values[..count]) {
         column.set(&mut report, *value);
@@ -252,7 +252,7 @@
             Action::Cancel { id, attempt } => self.record(69, instance).u64(id.0).u8(*attempt as u8),
             Action::Subscribe { on } => self.record(70, instance).u8((*on).into()),
             Action::FetchList => self.record(72, instance),
-            Action::Tell { to, data } => {
+            Action::SendToPeer { to, data } => {
                 let at = self.tail.len() as u32;
                 self.tail.extend(data);
                 let to = to.map_or(u16::MAX, |to| to as u16);
--- a/src/bin/hillpick-benchlink/wire_tests.rs
+++ b/src/bin/hillpick-benchlink/wire_tests.rs
@@ -62,8 +62,8 @@
     let request = NewRequest {
         id: RequestId(0x000f_b047_5d3a_91c4),
         class: 0,
-        terms: None,
-        arriving: false,
+        policy: None,
+        body_streaming: false,
         tenant: 0,
         key: 0x91f0_3b7c_55d2_0a64,
         remaining: ms(240.0),
@@ -131,7 +131,7 @@
         elapsed: ms(18.5),
         finished: true,
         report: None,
-        spent: false,
+        body_consumed: false,
     };
     assert_eq!(input, Input::Event(Event::AttemptEnded(end), None));
 }
@@ -139,7 +139,7 @@
 #[test]
 fn a_probe_result_brings_its_report_under_the_columns_names() {
     let (_, input) = one("08 0001 0a124a07 1b5b 01 3ff0000000000000 03 40400000 3f800000 3f000000", "");
-    let Input::Event(Event::Probed(end), Some(raw)) = input else { panic!("{input:?}") };
+    let Input::Event(Event::ProbeEnded(end), Some(raw)) = input else { panic!("{input:?}") };
     let expected = ProbeEnd {
         server: ServerId(0x0a12_4a07_1b5b),
         outcome: Outcome::Served,
@@ -147,7 +147,7 @@
         report: None,
     };
     assert_eq!(end, expected);
-    let report = named_report(raw, &[Column::Concurrent, Column::Unknown, Column::LoadShare]);
+    let report = named_report(raw, &[ReportColumn::Concurrent, ReportColumn::Unknown, ReportColumn::LoadShare]);
     let expected = LoadReport { in_flight: Some(3.0), utilisation: Some(0.5), ..LoadReport::default() };
     assert_eq!(report, expected);
 }
@@ -158,10 +158,10 @@
     assert_eq!((who, input), (7, Input::Start { seed: 9, settings: b"{}".to_vec() }));
     assert_eq!(one("0a 0007", "").1, Input::Stop);
     let (_, input) = one("04 0001 0000000000000005 4000000000000000 02 00000000 0007", "");
-    let started = Event::Started { id: RequestId(5), attempt: 2, server: ServerId(7) };
+    let started = Event::AnswerStarted { id: RequestId(5), attempt: 2, server: ServerId(7) };
     assert_eq!(input, Input::Event(started, None));
     let (_, input) = one("09 0001 00000002 00000000 00000002", "6869");
-    assert_eq!(input, Input::Event(Event::Peer { from: 2, data: b"hi".to_vec() }, None));
+    assert_eq!(input, Input::Event(Event::PeerMessage { from: 2, data: b"hi".to_vec() }, None));
 }
 
 #[test]
@@ -173,7 +173,7 @@
         (Action::Cancel { id, attempt: 2 }, "45 0003 0000000000000005 02", ""),
         (Action::Subscribe { on: true }, "46 0003 01", ""),
         (Action::FetchList, "48 0003", ""),
-        (Action::Tell { to: None, data: b"hi 7".to_vec() }, "49 0003 ffff 00000000 00000004", "68692037"),
+        (Action::SendToPeer { to: None, data: b"hi 7".to_vec() }, "49 0003 ffff 00000000 00000004", "68692037"),
         (Action::CloseIdle { server }, "4a 0003 01020304 0506", ""),
         (
             Action::Refuse { id, retry_after: Some(ms(500.0)) },
--- a/src/bin/sillward/backend.rs
+++ b/src/bin/sillward/backend.rs
@@ -10,7 +10,7 @@
 use hillpick::control::log::log;
 use hillpick::control::tcp;
 use hillpick::control::updates::Backend;
-use hillpick::settings::Column;
+use hillpick::settings::ReportColumn;
 use hillpick::{ListKind, LoadReport, Outcome, ReportSource, ServerId, ServerState};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -143,7 +143,7 @@
 
     /// A request written just when the backend closes the connection would end as a reset.
     fn idle_limit(&self) -> Duration {
-        self.current.get().idle_close * 3 / 4
+        self.current.get().server_idle_timeout * 3 / 4
     }
 
     fn drain_grace(&self) -> Duration {
@@ -151,7 +151,7 @@
     }
 
     fn reports(&self) -> ReportSource {
-        self.current.get().settings.reports
+        self.current.get().settings.report_source
     }
 
     /// Closes what has been idle for too long, before the backend would.
@@ -666,7 +666,7 @@
         let (mut report, site) = (LoadReport::default(), self.current.get());
         for field in text.trim().split(',') {
             let (name, value) = field.split_once('=')?;
-            let column = Column::on_sockets(name.trim());
+            let column = ReportColumn::from_wire_name(name.trim());
             let value: f32 = value.trim().parse().ok().filter(|v: &f32| v.is_finite() && *v >= 0.0)?;
             if site.columns.contains(&column) {
                 column.set(&mut report, value);
--- a/src/bin/sillward/front.rs
+++ b/src/bin/sillward/front.rs
@@ -12,8 +12,8 @@
 use hillpick::control::config::{Config, Current};
 use hillpick::control::log::log;
 use hillpick::control::tcp;
-use hillpick::settings::Site;
-use hillpick::{NewRequest, Repeat, RequestId, Terms};
+use hillpick::settings::SiteSettings;
+use hillpick::{NewRequest, RetrySafety, RequestId, RequestPolicy};
 use http_body_util::{BodyExt, Either, Full};
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, HeaderMap, HeaderValue, RETRY_AFTER};
@@ -424,7 +424,7 @@
                 Content::Kept(body)
             }
             Some(rest) => {
-                (new.arriving, forward.deadline) = (true, Cell::new(at + ARRIVING));
+                (new.body_streaming, forward.deadline) = (true, Cell::new(at + ARRIVING));
                 let message = Message::Arrived(new.id);
                 let tell = Box::new(move || drop(arrived.send(message)));
                 let (upload, back) = Upload::new((body, room), rest, patience, tell);
@@ -436,7 +436,7 @@
         let present = self.current.get();
         if !Arc::ptr_eq(&site, &present) {
             let class = site.settings.classes[new.class].clone();
-            new.terms = Some(Terms { class, max_attempts: site.settings.limits.max_attempts });
+            new.policy = Some(RequestPolicy { class, max_attempts: site.settings.limits.max_attempts });
             let class = site.class_names.get(new.class);
             new.class = class.and_then(|name| present.class_names.position(name)).unwrap_or(usize::MAX);
             let tenant = site.tenant_names.get(new.tenant);
@@ -480,7 +480,7 @@
     /// Reads a request as the protocol words it. What does not fit never reaches a backend.
     fn check(
         &self,
-        site: &Site,
+        site: &SiteSettings,
         head: Parts,
         empty: bool,
         at: Duration,
@@ -495,16 +495,16 @@
         let terms = &site.settings.classes[class];
 
         let idempotency_key = head.headers.get("idempotency-key").cloned();
-        let method = if terms.repeat == Repeat::Safe { Method::GET } else { Method::POST };
+        let method = if terms.retry_safety == RetrySafety::Idempotent { Method::GET } else { Method::POST };
         if head.method != method {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "wrong method for this class"));
         }
         if method == Method::GET && !empty {
             return Err((BAD, "a body where none belongs"));
         }
-        let window = match terms.repeat {
-            Repeat::Keyed { window, .. } if idempotency_key.is_some() => Some(window),
-            Repeat::Keyed { .. } => return Err((BAD, "no Idempotency-Key")),
+        let window = match terms.retry_safety {
+            RetrySafety::Keyed { window, .. } if idempotency_key.is_some() => Some(window),
+            RetrySafety::Keyed { .. } => return Err((BAD, "no Idempotency-Key")),
             _ => None,
         };
         let call_id = head.headers.get("x-call-id").filter(|id| (1..=LONGEST_ID).contains(&id.len()));
@@ -521,8 +521,8 @@
         let new = NewRequest {
             id: RequestId(self.next()),
             class,
-            terms: None,
-            arriving: false,
+            policy: None,
+            body_streaming: false,
             tenant: tenant.unwrap_or_default(),
             key,
             remaining,
--- a/src/bin/sillward/main.rs
+++ b/src/bin/sillward/main.rs
@@ -21,7 +21,7 @@
 use hillpick::control::discovery::Discovery;
 use hillpick::control::log::log;
 use hillpick::control::peers::{Peers, view::View};
-use hillpick::settings::Replacement;
+use hillpick::settings::SettingsUpdate;
 use lifecycle::{Lifecycle, State};
 use messages::Message;
 use std::io;
@@ -192,7 +192,7 @@
         log(format_args!(
             "told to look again: discovery is at {}, classes are {}",
             config.discovery,
-            config.site.class_names.listed()
+            config.site.class_names.summary()
         ));
         moved.send_if_modified(|address| std::mem::replace(address, config.discovery) != *address);
         current.set(config.site.clone());
@@ -202,7 +202,7 @@
 }
 
 /// Reads the configuration that follows `running`, a large one beside the thread that serves.
-async fn read_again(running: Arc<Config>) -> Result<(Config, Replacement), NoConfig> {
+async fn read_again(running: Arc<Config>) -> Result<(Config, SettingsUpdate), NoConfig> {
     if Config::file_length().is_some_and(|length| length <= READ_BETWEEN_REQUESTS) {
         return running.again();
     }
--- a/src/bin/sillward/messages.rs
+++ b/src/bin/sillward/messages.rs
@@ -4,8 +4,8 @@
 use crate::liveness::Liveness;
 use bytes::Bytes;
 use hillpick::control::updates::ListUpdate;
-use hillpick::settings::Replacement;
-use hillpick::{LoadReport, NewRequest, Outcome, RequestId, ServerId, Tier, ZoneView};
+use hillpick::settings::SettingsUpdate;
+use hillpick::{LoadReport, NewRequest, Outcome, RequestId, ServerId, FleetView, ZoneView};
 use http_body_util::Full;
 use hyper::Method;
 use hyper::header::HeaderValue;
@@ -26,9 +26,9 @@
     Attempt(Ended),
     Probe(ProbeEnded),
     List(ListUpdate),
-    Settings(Box<Replacement>),
+    Settings(Box<SettingsUpdate>),
     /// What is known of the tier has changed.
-    Tier(Tier),
+    Tier(FleetView),
     /// The staff ask how the zones stand, after an order if there is one.
     Zones(Option<Evacuation>, oneshot::Sender<Option<Vec<ZoneTold>>>),
     /// The staff ask how much of the list the node holds.
@@ -228,8 +228,8 @@
     }
 }
 
-impl From<Tier> for Message {
-    fn from(tier: Tier) -> Self {
+impl From<FleetView> for Message {
+    fn from(tier: FleetView) -> Self {
         Message::Tier(tier)
     }
 }
--- a/src/bin/sillward/node.rs
+++ b/src/bin/sillward/node.rs
@@ -11,7 +11,7 @@
 use hillpick::control::log::log;
 use hillpick::control::roster::{Roster, SubsetUpdate};
 use hillpick::control::updates::{DiscoveryCommand, ListUpdate};
-use hillpick::settings::{Replacement, Site};
+use hillpick::settings::{SettingsUpdate, SiteSettings};
 use hillpick::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -67,7 +67,7 @@
     /// All of the list, where balancer and pool hold a subset of it.
     roster: Option<Roster>,
     /// The settings that the module goes by.
-    site: Arc<Site>,
+    site: Arc<SiteSettings>,
     held: BTreeMap<RequestId, Held>,
     timers: BinaryHeap<Reverse<(Duration, u64, Due)>>,
     timers_set: u64,
@@ -143,11 +143,11 @@
             Message::Attempt(ended) => self.on_attempt(ended),
             Message::Probe(ProbeEnded { server, outcome, sent, report }) => {
                 let elapsed = self.clock.now().saturating_sub(sent);
-                self.decide(Event::Probed(ProbeEnd { server, outcome, elapsed, report }));
+                self.decide(Event::ProbeEnded(ProbeEnd { server, outcome, elapsed, report }));
             }
             Message::List(news) => self.on_list(news),
             Message::Tier(tier) => {
-                self.decide(Event::Tier(tier));
+                self.decide(Event::FleetView(tier));
                 self.move_subset();
             }
             Message::Zones(order, reply) => {
@@ -164,9 +164,9 @@
                 out.collect::<Vec<_>>().into_iter().for_each(|(id, i)| self.stop(id, i, Stop::Cancelled));
             }
             Message::Settings(replacement) => {
-                let Replacement { site, settings, classes, tenants } = *replacement;
+                let SettingsUpdate { site, settings, previous_classes: classes, previous_tenants: tenants } = *replacement;
                 self.site = site;
-                self.decide(Event::Settings { settings, classes, tenants });
+                self.decide(Event::Settings { settings, previous_classes: classes, previous_tenants: tenants });
                 self.move_subset();
             }
         }
@@ -190,7 +190,7 @@
     }
 
     fn take_subset(&mut self, told: SubsetUpdate) {
-        self.decide(Event::Rings(told.rings));
+        self.decide(Event::SubsetRings(told.rings));
         self.take_list(told.update);
     }
 
@@ -205,11 +205,11 @@
         let (id, deadline) = (new.id, forward.deadline.get());
         let waited = self.clock.now().saturating_sub(at);
         new.remaining = new.remaining.saturating_sub(waited);
-        if !new.arriving {
+        if !new.body_streaming {
             self.set_deadline(id, deadline);
         }
         let max_attempts =
-            new.terms.as_ref().map_or(self.site.settings.limits.max_attempts, |terms| terms.max_attempts);
+            new.policy.as_ref().map_or(self.site.settings.limits.max_attempts, |terms| terms.max_attempts);
         let held = Held {
             forward: Rc::new(forward),
             reply: Some(reply),
@@ -222,7 +222,7 @@
 
     /// A tick early: the answer is to be with the client before it gives up.
     fn set_deadline(&mut self, id: RequestId, deadline: Duration) {
-        self.set(deadline.saturating_sub(self.site.settings.tick), Due::Deadline(id));
+        self.set(deadline.saturating_sub(self.site.settings.timer_resolution), Due::Deadline(id));
     }
 
     fn on_arrived(&mut self, id: RequestId) {
@@ -233,7 +233,7 @@
         // How long a client took to send it says nothing of the backend.
         held.attempts.iter_mut().for_each(|out| out.sent = now);
         self.set_deadline(id, deadline);
-        self.decide(Event::Arrived { id });
+        self.decide(Event::BodyReceived { id });
     }
 
     /// The answer belongs to the client from its first bytes on. Where that has had another, nobody takes the pieces.
@@ -245,7 +245,7 @@
         out.started = Some(now.saturating_sub(out.sent));
         let server = out.server;
         held.answer(Answer::Serving(length, pieces));
-        self.decide(Event::Started { id, attempt: number, server });
+        self.decide(Event::AnswerStarted { id, attempt: number, server });
     }
 
     fn on_attempt(&mut self, ended: Ended) {
@@ -269,7 +269,7 @@
             elapsed: started.unwrap_or_else(|| self.clock.now().saturating_sub(sent)),
             finished,
             report: ended.report,
-            spent: ended.spent,
+            body_consumed: ended.spent,
         }));
         self.forget(ended.id);
     }
@@ -318,7 +318,7 @@
             Action::Subscribe { on } => self.order(DiscoveryCommand::Subscribe(on)),
             Action::FetchList => self.order(DiscoveryCommand::Fetch),
             // No message between nodes: the module sends none, and the site allows none.
-            Action::Tell { .. } => log("a message to another node was dropped"),
+            Action::SendToPeer { .. } => log("a message to another node was dropped"),
             Action::Log { text } => log(text),
         }
         None
@@ -336,13 +336,13 @@
         self.site.settings.zones.as_ref()?;
         if let Some(order) = order {
             let zone = self.site.zone_names.iter().position(|name| *name == order.zone)?;
-            self.decide(Event::Evacuate { zone: u8::try_from(zone).ok()?, lasts: order.lasts });
+            self.decide(Event::Evacuate { zone: u8::try_from(zone).ok()?, duration: order.lasts });
         }
         let now = self.clock.now();
         let named = self.balancer.zones().into_iter().map(|view| ZoneTold {
             name: self.site.zone_names.get(usize::from(view.zone)).cloned().unwrap_or_default(),
             age: now.saturating_sub(view.since),
-            left: view.evacuated.map(|until| until.saturating_sub(now)),
+            left: view.evacuated_until.map(|until| until.saturating_sub(now)),
             view,
         });
         Some(named.collect())
@@ -363,7 +363,7 @@
                 elapsed: Duration::ZERO,
                 finished,
                 report: None,
-                spent: false,
+                body_consumed: false,
             }));
         }
         let until = if timeout.is_zero() { deadline } else { deadline.min(now + timeout) };
--- a/src/bin/sillward/node/tests.rs
+++ b/src/bin/sillward/node/tests.rs
@@ -64,7 +64,7 @@
         let mut answer = request(&mut node, 1);
         assert_eq!(node.held.len(), 1, "it waits for a backend to be listed");
         for _ in 0..1000 {
-            tokio::time::advance(node.site.settings.tick).await;
+            tokio::time::advance(node.site.settings.timer_resolution).await;
             node.fire();
         }
         assert!(matches!(answer.try_recv(), Ok(Answer::Refused(_))));
--- a/src/bin/sillward/ops.rs
+++ b/src/bin/sillward/ops.rs
@@ -232,8 +232,8 @@
 
 fn told_of(zone: &ZoneTold) -> Value {
     let view = &zone.view;
-    json!({"name": zone.name, "share": view.share, "ready": view.ready, "ill": view.ill, "slow": view.slow,
-        "standing": format!("{:?}", view.standing).to_lowercase(), "for_ms": zone.age.as_millis() as u64,
+    json!({"name": zone.name, "share": view.share, "ready": view.ready_servers, "ill": view.unhealthy_share, "slow": view.latency_ratio,
+        "standing": format!("{}", view.state).to_lowercase(), "for_ms": zone.age.as_millis() as u64,
         "evacuated_for_ms": zone.left.map(|left| left.as_millis() as u64)})
 }
 
--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -7,7 +7,7 @@
 
 use crate::LEAST_SUBSET;
 use crate::control::roster::LISTED_BYTES;
-use crate::settings::{self, Names, Replacement, Site, ZonesText};
+use crate::settings::{self, NameTable, SettingsUpdate, SiteSettings, ZonesConfig};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
@@ -65,7 +65,7 @@
     fleet: Option<FleetFile>,
     /// How far the zones are; without it zones are alike.
     #[serde(default)]
-    zones: Option<ZonesText>,
+    zones: Option<ZonesConfig>,
     /// How much of a long list the node holds; without it all of it.
     #[serde(default)]
     subset: Option<SubsetFile>,
@@ -154,30 +154,30 @@
     /// Membership, if the node takes part in it.
     pub fleet: Option<Fleet>,
     /// Zones and regions, if the node goes by them.
-    pub zones: Option<ZonesText>,
+    pub zones: Option<ZonesConfig>,
     /// The settings.
-    pub site: Arc<Site>,
+    pub site: Arc<SiteSettings>,
     /// The keys of the file without the list: a later one has to hold what this one holds.
     shape: Shape,
 }
 
 /// The settings in force. All parts of the node share them, so that they change for all at once.
 #[derive(Clone)]
-pub struct Current(Rc<RefCell<Arc<Site>>>);
+pub struct Current(Rc<RefCell<Arc<SiteSettings>>>);
 
 impl Current {
     /// Settings to begin with.
-    pub fn new(site: Arc<Site>) -> Self {
+    pub fn new(site: Arc<SiteSettings>) -> Self {
         Current(Rc::new(RefCell::new(site)))
     }
 
     /// The settings that hold now.
-    pub fn get(&self) -> Arc<Site> {
+    pub fn get(&self) -> Arc<SiteSettings> {
         self.0.borrow().clone()
     }
 
     /// Replaces them for all parts at once.
-    pub fn set(&self, site: Arc<Site>) {
+    pub fn set(&self, site: Arc<SiteSettings>) {
         *self.0.borrow_mut() = site;
     }
 }
@@ -220,9 +220,9 @@
     ///
     /// # Errors
     /// If it can't be read, is no configuration that a node could run with, or none that can follow this one.
-    pub fn again(&self) -> Result<(Self, Replacement), NoConfig> {
+    pub fn again(&self) -> Result<(Self, SettingsUpdate), NoConfig> {
         let new = Config::read(|new| new.replaces(self))?.without_known();
-        let replacement = Replacement::new(new.site.clone(), &self.site);
+        let replacement = SettingsUpdate::new(new.site.clone(), &self.site);
         Ok((new, replacement))
     }
 
@@ -232,8 +232,8 @@
             return Err(Problem::RegistryMode);
         }
         let site = Arc::make_mut(&mut self.site); // nobody else has it yet, so that nothing is copied
-        site.number_as(&running.site);
-        site.settings.zones = self.zones.as_ref().map(|zones| zones.by_number(&site.zone_names));
+        site.keep_numbering(&running.site);
+        site.settings.zones = self.zones.as_ref().map(|zones| zones.to_zones(&site.zone_names));
         Ok(())
     }
 
@@ -249,31 +249,31 @@
         };
         let raw = file.settings.get();
         let mut site = settings::parse(raw.as_bytes()).map_err(|problem| match &problem {
-            settings::Problem::Form(error) => {
+            settings::SettingsError::Syntax(error) => {
                 Problem::InSettings(Box::new(Problem::form(text, text.find(raw).unwrap_or_default(), error)))
             }
             _ => problem.into(),
         })?;
         let zones = match file.zones {
             Some(zones) => Some(zones),
-            None => from_env::<ZonesText>("SILLWARD_ZONES")?,
+            None => from_env::<ZonesConfig>("SILLWARD_ZONES")?,
         };
-        zones.as_ref().map_or(Ok(()), ZonesText::check)?;
-        site.settings.zones = zones.as_ref().map(|zones| zones.by_number(&site.zone_names));
+        zones.as_ref().map_or(Ok(()), ZonesConfig::validate)?;
+        site.settings.zones = zones.as_ref().map(|zones| zones.to_zones(&site.zone_names));
         // Two numbers would mean the same class or tenant if a name stood twice.
-        let mut zone_names = Names::default();
+        let mut zone_names = NameTable::default();
         for name in &site.zone_names {
             zone_names.push(name).map_err(Problem::ZoneNames)?;
         }
         for (key, names) in
             [("Classes", &site.class_names), ("Projects", &site.tenant_names), ("Localities", &zone_names)]
         {
-            if let Some(problem) = names.problem() {
+            if let Some(problem) = names.error() {
                 return Err(Problem::name(key, names, problem));
             }
         }
         for (class, name) in site.settings.classes.iter().zip(site.class_names.iter()) {
-            for (key, time) in [("GiveUp", class.deadline), ("Target", class.aim)] {
+            for (key, time) in [("GiveUp", class.deadline), ("Target", class.latency_target)] {
                 if time.is_zero() {
                     return Err(Problem::Time { name: name.to_owned(), key });
                 }
@@ -293,7 +293,7 @@
         let server_bytes = if subset.is_some() { LISTED_BYTES } else { SERVER_BYTES };
         let wanted = match file.fleet {
             Some(fleet) => Some(fleet),
-            None if site.peers && file.peer_listen.is_some() => from_env::<FleetFile>("SILLWARD_FLEET")?,
+            None if site.peer_messages && file.peer_listen.is_some() => from_env::<FleetFile>("SILLWARD_FLEET")?,
             None => None,
         };
         let fleet = wanted.map(|fleet| self::fleet(fleet, &file.name, file.peer_listen, file.peers, &site));
@@ -343,9 +343,9 @@
     name: &str,
     listen: Option<SocketAddr>,
     peers: Vec<SocketAddr>,
-    site: &Site,
+    site: &SiteSettings,
 ) -> Result<Fleet, Problem> {
-    if !site.peers {
+    if !site.peer_messages {
         return Err(Problem::Forbidden);
     }
     if hillpick_fleet::Name::try_from(name.to_string()).is_err() {
--- a/src/control/config/problem.rs
+++ b/src/control/config/problem.rs
@@ -2,7 +2,7 @@
 
 use super::{LEAST, MOST_PEERS, MOST_SUBSET, SPARE_SOCKETS};
 use crate::LEAST_SUBSET;
-use crate::settings::{self, NameProblem, Names, TooManyNames};
+use crate::settings::{self, NameError, NameTable, TooManyNames};
 use std::fmt::Display;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -55,7 +55,7 @@
     InSettings(Box<Problem>),
     /// The settings in it, or its zones.
     #[error(transparent)]
-    Settings(#[from] settings::Problem),
+    Settings(#[from] settings::SettingsError),
     /// An object in the environment.
     #[error("{name}: {source}; expected an object as in the configuration")]
     Environment {
@@ -142,13 +142,13 @@
 
 impl Problem {
     /// What is wrong with the names below a key. Of many names the first ones are told, and how many there are.
-    pub(super) fn name(key: &'static str, names: &Names, problem: NameProblem) -> Self {
+    pub(super) fn name(key: &'static str, names: &NameTable, problem: NameError) -> Self {
         let shown: Vec<_> = names.iter().take(NAMES_SHOWN).collect();
         let rest = names.len() - shown.len();
         let rest = if rest > 0 { format!(" and {rest} more") } else { String::new() };
         let which = match problem {
-            NameProblem::Empty { place } => format!("the one at {place} is empty"),
-            NameProblem::Twice { first, second } => {
+            NameError::Empty { index: place } => format!("the one at {place} is empty"),
+            NameError::Duplicate { first, second } => {
                 format!("{:?} at {first} and {second}", names.get(second).unwrap_or_default())
             }
         };
--- a/src/control/config/tests.rs
+++ b/src/control/config/tests.rs
@@ -13,7 +13,7 @@
     "Classes": [{"Name": "read", "Target": 1, "GiveUp": 2, "Idempotency": "free", "Credit": 1},
                 {"Name": "submit", "Target": 1, "GiveUp": 2, "Idempotency": "guarded", "Credit": 1, "Window": 9}]}}"#;
 
-fn replaced(by: &str) -> Result<Arc<Site>, Problem> {
+fn replaced(by: &str) -> Result<Arc<SiteSettings>, Problem> {
     let mut new = Config::parse(by)?;
     new.replaces(&Config::parse(RUNNING).expect("good")).map(|()| new.site)
 }
@@ -138,9 +138,9 @@
     let running = Config::parse(&many(last)).expect("good");
     let mut new = Config::parse(&many(last)).expect("good");
     new.replaces(&running).expect("good");
-    let replacement = Replacement::new(new.site.clone(), &running.site);
-    assert_eq!(replacement.tenants.len(), MANY + 1);
-    assert!(replacement.tenants.iter().enumerate().all(|(now, before)| *before == Some(now)));
+    let replacement = SettingsUpdate::new(new.site.clone(), &running.site);
+    assert_eq!(replacement.previous_tenants.len(), MANY + 1);
+    assert!(replacement.previous_tenants.iter().enumerate().all(|(now, before)| *before == Some(now)));
     assert_eq!(new.site.class_names.position("submit"), Some(MANY + 1));
 
     let twice = many(r#"{"Name":"t-7","AllowancePerS":1,"Share":0.5}"#);
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -8,7 +8,7 @@
 mod tests;
 pub mod view;
 
-use crate::Tier;
+use crate::FleetView;
 use crate::control::config::{Config, Fleet, MOST_PEERS};
 use crate::control::log::log;
 use crate::control::process::{Siblings, State};
@@ -80,13 +80,13 @@
     messages: mpsc::Sender<M>,
     process: watch::Receiver<State>,
     siblings: Rc<dyn Siblings>,
-    told: Option<Tier>,
+    told: Option<FleetView>,
     /// The port on which it hears.
     port: u16,
     saved: SavedMembers,
 }
 
-impl<M: From<Tier>> Peers<M> {
+impl<M: From<FleetView>> Peers<M> {
     /// As the configuration says; `None` where it says nothing of it. `process` is how this process stands, and
     /// `siblings` which others of the same node there are.
     ///
@@ -303,7 +303,7 @@
             // Who is no member knows nothing, and goes by the settings.
             let displaced = core.displaced().is_some();
             let agreement = core.agreement(begun.elapsed());
-            Tier {
+            FleetView {
                 live: agreement.members as u32,
                 rank: core.rank() as u32,
                 agreed: agreement.certainty == Certainty::Agreed && !displaced,
@@ -329,7 +329,7 @@
         self.carry_out(socket, out);
         // What is in the socket's buffer goes out by itself.
         let _ = timeout_at(Instant::now() + BIND_PAUSE, socket.writable()).await;
-        let alone = Tier { live: 1, rank: 0, agreed: false, could_be_alive: self.nodes };
+        let alone = FleetView { live: 1, rank: 0, agreed: false, could_be_alive: self.nodes };
         if self.messages.try_send(M::from(alone)).is_ok() {
             self.told = Some(alone);
         }
--- a/src/control/peers/tests.rs
+++ b/src/control/peers/tests.rs
@@ -8,7 +8,7 @@
 
 /// The owner's side of a node.
 struct Owner {
-    told: mpsc::Receiver<Tier>,
+    told: mpsc::Receiver<FleetView>,
     state: watch::Sender<State>,
 }
 
@@ -44,7 +44,7 @@
 
 impl Owner {
     /// Waits until it is told of so many live nodes.
-    async fn hears_of(&mut self, live: u32) -> Tier {
+    async fn hears_of(&mut self, live: u32) -> FleetView {
         loop {
             let tier = self.told.recv().await.expect("a node that runs");
             if tier.live == live {
@@ -84,7 +84,7 @@
     runtime.block_on(async {
         let other = UdpSocket::bind(ANY).await.expect("a socket");
         let taken = other.local_addr().expect("an address");
-        let (messages, _told) = mpsc::channel::<Tier>(1);
+        let (messages, _told) = mpsc::channel::<FleetView>(1);
         let (_state, process) = watch::channel(State::Active);
         let config = config(0, taken, &[], ADVERTISED);
         let peers = Peers::new(&config, View::default(), messages, process, Rc::new(NoSiblings));
--- a/src/control/roster/mod.rs
+++ b/src/control/roster/mod.rs
@@ -10,7 +10,7 @@
 mod tests;
 
 use crate::control::updates::{Backend, ListUpdate};
-use crate::{HeldRing, LEAST_SUBSET, ListKind, RingLayout, ServerId, ServerState};
+use crate::{SubsetRing, LEAST_SUBSET, ListKind, RingLayout, ServerId, ServerState};
 use listed::Listed;
 use ring::Ring;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
 /// News of the list as far as they concern the subset, to be told to pool and balancer in this order.
 pub struct SubsetUpdate {
     /// The rings of which a part is held.
-    pub rings: Vec<HeldRing>,
+    pub rings: Vec<SubsetRing>,
     /// What enters the subset, changes in it or leaves it.
     pub update: ListUpdate,
 }
@@ -211,8 +211,8 @@
 
     /// The part of a ring that is to be held.
     fn part<'a>(&self, ring: &'a Ring) -> impl Iterator<Item = &'a (u64, Listed)> + Clone {
-        let stretch = self.layout.stretch(ring.len(), self.servers);
-        ring.round_from(stretch.begins).take(stretch.length)
+        let stretch = self.layout.held_range(ring.len(), self.servers);
+        ring.round_from(stretch.start).take(stretch.length)
     }
 
     /// Adds what enters the subset, and what leaves it, beside the servers that are `named` already.
@@ -249,11 +249,11 @@
     }
 
     /// What the balancer is told of the rings.
-    fn held_rings(&self) -> Vec<HeldRing> {
+    fn held_rings(&self) -> Vec<SubsetRing> {
         let held = |(zone, ring): (&Option<u8>, &Ring)| {
-            let mut from_first = ring.round_from(self.layout.first(ring.len()));
+            let mut from_first = ring.round_from(self.layout.first_rank(ring.len()));
             let first = from_first.next().map_or(0, |(position, _)| *position);
-            HeldRing { zone: *zone, ready: ring.len(), first }
+            SubsetRing { zone: *zone, ready: ring.len(), first }
         };
         self.rings.iter().map(held).collect()
     }
--- a/src/control/roster/tests.rs
+++ b/src/control/roster/tests.rs
@@ -255,8 +255,8 @@
         let mut part = BTreeSet::new();
         for ring in rings.values_mut() {
             ring.sort_unstable();
-            let stretch = layout.stretch(ring.len(), SERVERS);
-            let ranks = stretch.begins..stretch.begins + stretch.length;
+            let stretch = layout.held_range(ring.len(), SERVERS);
+            let ranks = stretch.start..stretch.start + stretch.length;
             part.extend(ranks.map(|rank| ServerId::at_ring_position(ring[rank % ring.len()])));
         }
         if layout.whole_cells {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -3,6 +3,7 @@
 //! Nothing here decides anything. Times are [`Duration`]s; a point in time is the time since some
 //! fixed moment of the host's clock, which never runs backwards.
 
+use std::fmt;
 use std::time::Duration;
 
 /// A server, as the server list names it. The number carries no meaning.
@@ -44,11 +45,11 @@
     /// The tenants; events name them by position. Empty where there are none.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a fraction of its class's worth.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// Whether worth is counted for each unit of work instead of each request.
-    pub worth_by_work: bool,
+    pub value_by_work: bool,
     /// How servers report their load.
-    pub reports: ReportSource,
+    pub report_source: ReportSource,
     /// What the site permits.
     pub limits: Limits,
     /// The figures of the four rules.
@@ -60,7 +61,7 @@
     /// Whether the server list must be asked for; otherwise changes arrive by themselves.
     pub list_on_request: bool,
     /// The least time between two rounds of events, and so the precision of timers.
-    pub tick: Duration,
+    pub timer_resolution: Duration,
     /// How far the zones are, where the node goes by them; without it zones are alike.
     pub zones: Option<Zones>,
 }
@@ -73,7 +74,7 @@
     /// The region of each zone.
     pub region: Vec<u16>,
     /// So long the share of a zone that was left grows back from a hundredth to all.
-    pub return_time: Duration,
+    pub failback_time: Duration,
 }
 
 /// A zone, as a node sees it now.
@@ -84,57 +85,70 @@
     /// The share of the node's requests that goes there first; the shares of all sum to 1.
     pub share: f64,
     /// Its servers that are in service.
-    pub ready: usize,
+    pub ready_servers: usize,
     /// The part of its servers seen lately whose last outcome was a failure.
-    pub ill: f64,
+    pub unhealthy_share: f64,
     /// How much of their aim its requests take, 1 for those that come too late or not at all; `None` if none was seen.
-    pub slow: Option<f64>,
+    pub latency_ratio: Option<f64>,
     /// What that comes to.
-    pub standing: Standing,
+    pub state: ZoneState,
     /// Since when it stands so.
     pub since: Duration,
     /// Evacuated by hand until then.
-    pub evacuated: Option<Duration>,
+    pub evacuated_until: Option<Duration>,
 }
 
 /// How a zone stands with a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum ZoneState {
     /// Nothing is wrong with it.
     #[default]
-    Sound,
+    Healthy,
     /// Most of its servers fail, and it gets trials alone.
-    Left,
+    FailedOver,
     /// It answers again, and its share grows over a stated time.
-    Returning,
+    FailingBack,
     /// The staff want it empty.
     Evacuated,
     /// The staff want it empty, but no other zone works.
-    Needed,
+    EvacuationSuspended,
+}
+
+impl fmt::Display for ZoneState {
+    /// The name that operators see: in log lines, and in lower case at the operations address.
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.write_str(match self {
+            ZoneState::Healthy => "Sound",
+            ZoneState::FailedOver => "Left",
+            ZoneState::FailingBack => "Returning",
+            ZoneState::Evacuated => "Evacuated",
+            ZoneState::EvacuationSuspended => "Needed",
+        })
+    }
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time has its full worth.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// The aim is longer by this multiple of the request's own work, within the deadline.
-    pub aim_stretch: f64,
+    pub target_stretch: f64,
     /// How long a client waits in all, over all its tries.
     pub deadline: Duration,
     /// What a request is worth.
-    pub worth: f64,
+    pub value: f64,
     /// The fraction of the worth that an answer after the aim still has.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// How far a request may be repeated once it may have run.
-    pub repeat: Repeat,
-    /// Whether answers are streamed, so that [`Event::Started`] arrives.
+    pub retry_safety: RetrySafety,
+    /// Whether answers are streamed, so that [`Event::AnswerStarted`] arrives.
     pub streamed: bool,
 }
 
 /// The rules that a request came under. They stay its own when the settings change.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Terms {
+pub struct RequestPolicy {
     /// Its class as it was then.
     pub class: Class,
     /// The most attempts for it.
@@ -143,23 +157,23 @@
 
 /// How far a request may be repeated once an attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// It may be repeated freely.
-    Safe,
+    Idempotent,
     /// Servers drop repeats, within a group and for a time.
     Keyed {
         /// The servers that know of each other's requests.
-        scope: Scope,
+        scope: DedupScope,
         /// How long they remember, from the send of the first attempt that may have run.
         window: Duration,
     },
     /// It must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The group of servers that drops the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     /// All servers.
     All,
     /// The servers of one zone.
@@ -172,7 +186,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
     /// Requests a second within its share, over all nodes.
-    pub allowance_per_s: f64,
+    pub rate_limit_per_s: f64,
     /// Its fraction of the service.
     pub share: f64,
 }
@@ -198,7 +212,7 @@
     /// Whether servers may be probed.
     pub probes: bool,
     /// Whether two attempts of a request may be out at once.
-    pub parallel_attempts: bool,
+    pub hedging: bool,
     /// The longest wait that clients obey after a refusal; `None` if they are not told of one.
     pub max_retry_after: Option<Duration>,
     /// A connection not up after this time has failed.
@@ -211,15 +225,15 @@
     /// How long after it is told a node may still send to a server that drains or is gone.
     pub drain_grace: Duration,
     /// A server starts with this fraction of its capacity, or more.
-    pub cold_share: f64,
+    pub cold_capacity: f64,
     /// And has all of it after this time at the latest.
-    pub warm_after: Duration,
+    pub warm_up_time: Duration,
     /// A cold server falls over when sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this long.
     pub overload_time: Duration,
     /// Where the list must be asked for: the longest time without asking or a subscription.
-    pub ask_within: Duration,
+    pub list_refresh_interval: Duration,
 }
 
 /// What is taken off the result.
@@ -241,7 +255,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Goal {
     /// The whole time.
-    pub whole: f64,
+    pub overall: f64,
     /// The worst stretch.
     pub worst_window: f64,
     /// The worst-served class.
@@ -296,7 +310,7 @@
 
 /// A ring of which a node holds a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldRing {
+pub struct SubsetRing {
     /// The zone whose servers stand on it; `None` for the ring of all.
     pub zone: Option<u8>,
     /// How many ready servers stand on the whole of it.
@@ -374,7 +388,7 @@
     /// Its class, by position in the present settings; beyond their end for one that they no longer hold.
     pub class: usize,
     /// The rules that it came under, where those are not the present ones.
-    pub terms: Option<Terms>,
+    pub policy: Option<RequestPolicy>,
     /// Its tenant.
     pub tenant: usize,
     /// What it concerns; 0 for nothing.
@@ -386,8 +400,8 @@
     /// Whether the client says that it repeats an earlier try.
     pub client_retry: bool,
     /// Its body is longer than the node keeps, and still comes. An attempt reads it from the client as it comes, and
-    /// its time runs from [`Event::Arrived`] on.
-    pub arriving: bool,
+    /// its time runs from [`Event::BodyReceived`] on.
+    pub body_streaming: bool,
 }
 
 /// How an attempt ended.
@@ -408,7 +422,7 @@
     /// The server's load report, if one came along.
     pub report: Option<LoadReport>,
     /// It has used up a body that the node does not keep: the request can't be sent again.
-    pub spent: bool,
+    pub body_consumed: bool,
 }
 
 /// How a probe ended.
@@ -426,7 +440,7 @@
 
 /// How many nodes share this work, as they know of one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tier {
+pub struct FleetView {
     /// Nodes that are known to live, this one included; at least 1.
     pub live: u32,
     /// This node's place among them, from 0.
@@ -448,16 +462,16 @@
         entries: Vec<ServerEntry>,
     },
     /// From here on the list events bring a subset: the part that is held of each ring. Until this comes they bring all.
-    Rings(Vec<HeldRing>),
+    SubsetRings(Vec<SubsetRing>),
     /// A client's request has arrived. The node owes it one final answer.
     Request(NewRequest),
     /// The last byte of a request that was arriving has come.
-    Arrived {
+    BodyReceived {
         /// The request.
         id: RequestId,
     },
     /// A streamed answer has started; the attempt belongs to the client now.
-    Started {
+    AnswerStarted {
         /// The request.
         id: RequestId,
         /// The number of the attempt, in the order of sending.
@@ -478,27 +492,27 @@
         token: u64,
     },
     /// A probe has ended.
-    Probed(ProbeEnd),
+    ProbeEnded(ProbeEnd),
     /// From here on these settings hold. Requests that are open keep the rules that they came under.
     Settings {
         /// All of them.
         settings: Box<Settings>,
         /// For each class, where it stood in the settings before, if it did.
-        classes: Vec<Option<usize>>,
+        previous_classes: Vec<Option<usize>>,
         /// For each tenant, likewise.
-        tenants: Vec<Option<usize>>,
+        previous_tenants: Vec<Option<usize>>,
     },
     /// What is known of the tier has changed. Until this comes, the settings say how many nodes there are.
-    Tier(Tier),
+    FleetView(FleetView),
     /// The staff want a zone empty for so long, or not any more.
     Evacuate {
         /// The zone.
         zone: u8,
         /// How long at most, from now; nothing ends it.
-        lasts: Option<Duration>,
+        duration: Option<Duration>,
     },
     /// A message from another node.
-    Peer {
+    PeerMessage {
         /// The sender's number.
         from: u32,
         /// Its text.
@@ -562,7 +576,7 @@
     /// Ask for the whole server list once.
     FetchList,
     /// Send a message to another node, or to all of them.
-    Tell {
+    SendToPeer {
         /// The receiver's number; `None` for all.
         to: Option<u32>,
         /// At most 256 bytes.
@@ -579,12 +593,12 @@
     /// Safe to repeat, within a second.
     fn default() -> Self {
         Class {
-            aim: Duration::from_millis(500),
-            aim_stretch: 0.0,
+            latency_target: Duration::from_millis(500),
+            target_stretch: 0.0,
             deadline: Duration::from_secs(1),
-            worth: 1.0,
-            late_worth: 0.0,
-            repeat: Repeat::Safe,
+            value: 1.0,
+            late_value: 0.0,
+            retry_safety: RetrySafety::Idempotent,
             streamed: false,
         }
     }
@@ -599,29 +613,29 @@
             zone: 0,
             classes: vec![Class::default()],
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            worth_by_work: false,
-            reports: ReportSource::None,
+            over_share_value: 1.0,
+            value_by_work: false,
+            report_source: ReportSource::None,
             limits: Limits {
                 max_attempts: 3,
                 cancel: false,
                 probes: false,
-                parallel_attempts: false,
+                hedging: false,
                 max_retry_after: None,
                 connect_timeout: Duration::from_millis(250),
             },
             rules: Rules {
                 drain_grace: Duration::from_secs(1),
-                cold_share: 1.0,
-                warm_after: Duration::ZERO,
+                cold_capacity: 1.0,
+                warm_up_time: Duration::ZERO,
                 overload_factor: 3.0,
                 overload_time: Duration::from_secs(2),
-                ask_within: Duration::from_secs(10),
+                list_refresh_interval: Duration::from_secs(10),
             },
             prices: Prices::default(),
-            goal: Goal { whole: 1.0, ..Goal::default() },
+            goal: Goal { overall: 1.0, ..Goal::default() },
             list_on_request: false,
-            tick: Duration::from_millis(1),
+            timer_resolution: Duration::from_millis(1),
             zones: None,
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use interface::*;
 pub use policy::Balancer;
-pub use policy::subset::{LEAST_SUBSET, Stretch};
+pub use policy::subset::{LEAST_SUBSET, RingRange};
 
 /// The README's example, compiled as a test.
 #[cfg(doctest)]
--- a/src/policy/figures.rs
+++ b/src/policy/constants.rs
@@ -4,9 +4,9 @@
 /// The token of the housekeeping timer; a request's timers carry its id.
 pub(super) const TICK: u64 = u64::MAX;
 /// The share of the service that probes, and connections, may cost: little beside what blind sends cost.
-pub(super) const PRICE_SPEND: f64 = 0.01;
+pub(super) const COST_BUDGET: f64 = 0.01;
 /// Further attempts, as a share of first attempts: the usual retry budget.
-pub(super) const RETRY_SHARE: f64 = 0.4;
+pub(super) const RETRY_BUDGET_RATIO: f64 = 0.4;
 /// Attempts given up before the deadline, as a share of answers in time: the work of one given up may go on
 /// at its server, beside that of the attempt that follows.
 pub(super) const GIVE_UP_SHARE: f64 = 1.0 / 64.0;
@@ -15,4 +15,4 @@
 /// One observation's weight in a smoothed value: the last handful of observations decide.
 pub(super) const SMOOTH: f64 = 1.0 / 8.0;
 /// Crowding beyond this many requests is treated alike, and no more servers than this are compared.
-pub(super) const LEVELS: usize = 64;
+pub(super) const LOAD_LEVELS: usize = 64;
--- a/src/policy/send.rs
+++ b/src/policy/dispatch.rs
@@ -1,7 +1,7 @@
 //! Sending: the choice among those permitted, and the only place that sends.
 
-use super::figures::{LEVELS, SMOOTH};
-use super::pick::{any_of, few};
+use super::constants::{LOAD_LEVELS, SMOOTH};
+use super::selection::{any_of, few};
 use crate::interface::*;
 use crate::state::{Attempt, Balancer, Request, Server};
 use std::time::Duration;
@@ -35,7 +35,7 @@
         }
         let Some((healthy, fitting)) = choice else {
             // Nobody is listed, or only cold servers without a ticket: hold it a while.
-            let after = Duration::from_secs_f64(self.answer_time / 8.0).max(self.settings.tick);
+            let after = Duration::from_secs_f64(self.answer_time / 8.0).max(self.settings.timer_resolution);
             return actions.push(Action::SetTimer { after, token: id.0 });
         };
         let (below, any) = (self.below_cap(&fitting, draw), any_of(&fitting, draw));
@@ -56,7 +56,7 @@
     /// Ejected servers get one request in so many on trial, seldom one that can't be sent again: else trials
     /// take most of a quiet node's requests. In a zone that gets no more than trials each is one.
     pub(super) fn is_trial(&self, request: &Request, zone: Option<u8>, luck: f64) -> bool {
-        let once = request.terms.class.repeat == Repeat::Unsafe;
+        let once = request.terms.class.retry_safety == RetrySafety::NonIdempotent;
         request.attempts.is_empty()
             && (luck * if once { 4.0 } else { 1.0 } < SMOOTH || self.on_trial(zone) && !once)
     }
@@ -99,11 +99,11 @@
         let (arriving, long) = (request.arriving.is_some(), request.long);
         let last = request.attempts.len() as u32 + 1 >= request.terms.max_attempts;
         let more = !last
-            && request.terms.class.repeat != Repeat::Unsafe
+            && request.terms.class.retry_safety != RetrySafety::NonIdempotent
             && !long
             && left > patience * 5 / 4
             && self.retry_tokens >= if again { 2.0 } else { 1.0 };
-        let hedged = self.settings.limits.parallel_attempts;
+        let hedged = self.settings.limits.hedging;
         // What is given up may go on at its server, which nothing tells: where that is frequent, all wait.
         let gives_up = more && !hedged && self.give_up_tokens >= 1.0;
         let timeout = if gives_up { patience } else { left };
@@ -111,7 +111,7 @@
         if more && hedged {
             actions.push(Action::SetTimer { after: patience, token: id.0 });
         }
-        let crowd = (self.crowd(server).round() as usize).min(LEVELS - 1);
+        let crowd = (self.crowd(server).round() as usize).min(LOAD_LEVELS - 1);
         let attempt = Attempt { to: server.entry, sent: now, crowd, counted: !arriving, outcome: None };
         self.requests.entry(id).and_modify(|r| {
             (r.probed, r.until) = (true, if arriving { now + ARRIVING } else { r.until });
@@ -124,7 +124,7 @@
         actions.push(Action::Send { id, server: to, timeout });
         self.retry_tokens -= if again { 1.0 } else { 0.0 };
         self.held.retain(|held| *held != id);
-        self.sent.add(now, self.memory(), 1.0);
+        self.sent.add(now, self.rate_window(), 1.0);
         self.sends = self.sends * 0.998 + 1.0;
         self.idle_signs *= 0.998;
     }
--- a/src/policy/tier.rs
+++ b/src/policy/fleet_view.rs
@@ -34,14 +34,14 @@
     /// fewer than are configured: so that all parts together are never more than the whole, whoever is right.
     #[test]
     fn parts_follow_the_live_tier_only_where_it_is_agreed_on() {
-        let with = |tier: Option<Tier>| {
+        let with = |tier: Option<FleetView>| {
             let mut node = Balancer::new(Settings { nodes: 10, node: 7, ..Settings::default() }, 1);
             let mut actions = Vec::new();
-            tier.into_iter().for_each(|t| node.handle(Duration::from_secs(1), Event::Tier(t), &mut actions));
+            tier.into_iter().for_each(|t| node.handle(Duration::from_secs(1), Event::FleetView(t), &mut actions));
             assert_eq!(actions, []);
             (node.nodes(), node.place())
         };
-        let tier = |live, rank, agreed, could_be_alive| Some(Tier { live, rank, agreed, could_be_alive });
+        let tier = |live, rank, agreed, could_be_alive| Some(FleetView { live, rank, agreed, could_be_alive });
         assert_eq!(with(None), (10, (7, 10)));
         assert_eq!(with(tier(5, 2, true, 5)), (5, (2, 5)));
         assert_eq!(with(tier(5, 2, false, 5)), (10, (7, 10)));
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,6 +1,6 @@
 //! What follows an outcome: a server's health, what it is broken for, and how crowded servers may be.
 
-use super::figures::{GIVE_UP_SHARE, GIVE_UPS_SAVED, LEVELS, SMOOTH};
+use super::constants::{GIVE_UP_SHARE, GIVE_UPS_SAVED, LOAD_LEVELS, SMOOTH};
 use crate::interface::*;
 use crate::state::{Balancer, Server};
 
@@ -12,7 +12,7 @@
     /// meanwhile, but none of this class, is broken for it; as the memory fades it is tried again.
     pub(super) fn broken_for(&self, server: &Server, class: Option<usize>) -> bool {
         let Some((missed, serves)) = class.and_then(|class| server.missed.get(&class)) else { return false };
-        *serves && missed.per_s(self.now, self.memory()) * self.memory() > MISSED
+        *serves && missed.per_s(self.now, self.rate_window()) * self.rate_window() > MISSED
     }
 
     pub(super) fn on_outcome(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
@@ -27,11 +27,11 @@
         let past = self.now.as_secs_f64() - request.until.as_secs_f64();
         let overdue = (0.0..usual / 4.0).contains(&past) && end.elapsed.as_secs_f64() >= usual;
         // Nothing to spare, or well past the aim where late answers have worth.
-        let (aim, late_worth) = (request.terms.class.aim, request.terms.class.late_worth);
+        let (aim, late_worth) = (request.terms.class.latency_target, request.terms.class.late_value);
         let left = request.until.saturating_sub(attempt.sent);
-        request.spent |= end.spent;
+        request.spent |= end.body_consumed;
         if request.arriving.is_some() {
-            request.until = self.now + request.terms.class.aim; // so long it may wait for another server
+            request.until = self.now + request.terms.class.latency_target; // so long it may wait for another server
         }
         let tight = 4 * end.elapsed > if late_worth > 0.0 { 5 } else { 3 } * aim.min(left);
         let early = end.outcome == Outcome::TimedOut && self.now < request.until;
@@ -40,7 +40,7 @@
             self.give_up_tokens = (self.give_up_tokens + GIVE_UP_SHARE).min(GIVE_UPS_SAVED);
         }
         let (finished, waiting) = (end.finished || request.done, request.out() == 0);
-        let (now, memory, cut_short) = (self.now, self.memory(), 2 * end.elapsed < aim);
+        let (now, memory, cut_short) = (self.now, self.rate_window(), 2 * end.elapsed < aim);
         if let Some(s) = self.servers.get_mut(&end.server) {
             s.out -= u32::from(counted).min(s.out);
             s.ended(kind, end.outcome, cut_short, now, memory);
@@ -85,7 +85,7 @@
             Outcome::Served => {
                 self.answer_time += (end.elapsed.as_secs_f64() - self.answer_time) * SMOOTH / 4.0;
                 if self.servers.get(&end.server).is_some_and(|s| self.warmth(s) >= 1.0) {
-                    self.carried.add(self.now, self.memory(), weight);
+                    self.carried.add(self.now, self.rate_window(), weight);
                 }
                 self.judge(end.server, if tight { 0.5 } else { 0.0 }, SMOOTH * 2.0);
             }
@@ -99,12 +99,12 @@
         let missed = late || end.outcome == Outcome::Rejected;
         if served && !tight {
             // What fits when crowded fits when less so, and a little more is given its chance.
-            self.in_time[..=crowd].iter_mut().for_each(|share| *share += (1.0 - *share) * SMOOTH);
-            let next = &mut self.in_time[(crowd + 1).min(LEVELS - 1)];
+            self.in_time_by_load[..=crowd].iter_mut().for_each(|share| *share += (1.0 - *share) * SMOOTH);
+            let next = &mut self.in_time_by_load[(crowd + 1).min(LOAD_LEVELS - 1)];
             *next += (1.0 - *next) * SMOOTH / 2.0;
         } else if crowd > 0 {
             let close = if served || missed { SMOOTH } else { 0.0 };
-            return self.in_time[crowd..].iter_mut().for_each(|share| *share -= *share * close);
+            return self.in_time_by_load[crowd..].iter_mut().for_each(|share| *share -= *share * close);
         }
         if !served && !missed {
             return;
@@ -128,7 +128,7 @@
         }
         let (failing, on_trial, times) = (server.failing, server.ejected.is_some(), server.ejections);
         let zone = self.servers.get(&id).and_then(|server| self.zone_of(server));
-        let ready: Vec<_> = self.ring_in(zone).take(2 * self.enough()).collect();
+        let ready: Vec<_> = self.ring_in(zone).take(2 * self.candidate_limit()).collect();
         let room = 2 * ready.iter().filter(|s| s.ejected.is_some()).count() + 2 <= ready.len();
         // What all suffer is no server's fault, and half stay unless they can't be reached from here at all.
         if on_trial || weight >= 1.0 || room && failing > 0.5 && failing > 1.5 * self.failing {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,22 +1,22 @@
 //! Every decision of hillpick, one file a concern. Types, events and actions are in `src/interface.rs`; what
 //! a node remembers of servers and requests in `src/state.rs`; departures from the paper in `README.md`.
 
-mod cold;
-mod figures;
+mod slow_start;
+mod constants;
 mod health;
-mod limits;
-mod list;
-mod pick;
+mod request_value;
+mod server_list;
+mod selection;
 mod request;
 mod retry;
-mod send;
+mod dispatch;
 pub(crate) mod subset;
-mod tier;
+mod fleet_view;
 mod zones;
 
 use crate::interface::*;
 pub use crate::state::Balancer;
-use figures::{LEVELS, RETRY_SHARE, TICK};
+use constants::{LOAD_LEVELS, RETRY_BUDGET_RATIO, TICK};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::time::Duration;
@@ -24,11 +24,11 @@
 impl Balancer {
     /// A node that has just started and holds no state.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or_default();
+        let aim = settings.classes.iter().map(|c| c.latency_target).min().unwrap_or_default();
         let mut node = Balancer::empty(settings, Pcg32::seed_from_u64(seed));
         (node.answer_time, node.median) = (aim.as_secs_f64() / 2.0, aim / 4);
         (node.sends, node.idle_signs, node.busy) = (1.0, 1.0, 0.5);
-        (node.in_time, node.taken, node.retry_tokens) = (vec![0.25; LEVELS], 2.0, 1.0 / RETRY_SHARE);
+        (node.in_time_by_load, node.taken, node.retry_tokens) = (vec![0.25; LOAD_LEVELS], 2.0, 1.0 / RETRY_BUDGET_RATIO);
         node
     }
 
@@ -47,19 +47,19 @@
                 self.on_list(kind, entries);
                 self.tend_zones(true, actions);
             }
-            Event::Rings(rings) => self.held_rings = rings,
+            Event::SubsetRings(rings) => self.held_rings = rings,
             Event::Request(new) => self.on_request(new, actions),
-            Event::Arrived { id } => self.on_arrived(id, actions),
-            Event::Started { id, attempt, .. } => self.on_started(id, attempt, actions),
+            Event::BodyReceived { id } => self.on_arrived(id, actions),
+            Event::AnswerStarted { id, attempt, .. } => self.on_started(id, attempt, actions),
             Event::AttemptEnded(end) => self.on_outcome(end, actions),
             Event::ClientGone { id } => self.close(id, actions),
             Event::Timer { token: TICK } => self.on_tick(actions),
             Event::Timer { token } => self.on_request_timer(RequestId(token), actions),
-            Event::Probed(end) => self.on_probed(end, actions),
-            Event::Settings { settings, classes, tenants } => self.resettle(*settings, &classes, &tenants),
-            Event::Tier(tier) => self.tier = Some(tier),
-            Event::Evacuate { zone, lasts } => self.on_evacuate(zone, lasts, actions),
-            Event::Peer { .. } => {}
+            Event::ProbeEnded(end) => self.on_probed(end, actions),
+            Event::Settings { settings, previous_classes: classes, previous_tenants: tenants } => self.resettle(*settings, &classes, &tenants),
+            Event::FleetView(tier) => self.tier = Some(tier),
+            Event::Evacuate { zone, duration: lasts } => self.on_evacuate(zone, lasts, actions),
+            Event::PeerMessage { .. } => {}
         }
     }
 
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,6 +1,6 @@
 //! A request's life here, from its arrival to its only final answer.
 
-use super::figures::{PRICE_SPEND, RETRY_SHARE};
+use super::constants::{COST_BUDGET, RETRY_BUDGET_RATIO};
 use crate::interface::*;
 use crate::state::{Attempt, Balancer, Request};
 use std::time::Duration;
@@ -10,18 +10,18 @@
         let present = Some(new.class).filter(|class| *class < self.settings.classes.len());
         let class = &self.settings.classes[present.unwrap_or_default()];
         let max_attempts = self.settings.limits.max_attempts;
-        let all = new.terms.clone().unwrap_or_else(|| Terms { class: class.clone(), max_attempts });
+        let all = new.policy.clone().unwrap_or_else(|| RequestPolicy { class: class.clone(), max_attempts });
         let terms = &all.class;
         // While it arrives its time does not run, but it waits no longer for a server than another would.
-        let arriving = new.arriving.then(|| new.clone());
-        let until = if new.arriving { self.now + terms.aim } else { self.until(&new, present, terms) };
+        let arriving = new.body_streaming.then(|| new.clone());
+        let until = if new.body_streaming { self.now + terms.latency_target } else { self.until(&new, present, terms) };
         let weight = self.weigh(new.cost);
-        self.arrived.add(self.now, self.memory(), weight);
-        self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(2.0 / RETRY_SHARE);
-        let paid = PRICE_SPEND / self.settings.prices.probe.max(1e-9);
+        self.arrived.add(self.now, self.rate_window(), weight);
+        self.retry_tokens = (self.retry_tokens + RETRY_BUDGET_RATIO).min(2.0 / RETRY_BUDGET_RATIO);
+        let paid = COST_BUDGET / self.settings.prices.probe.max(1e-9);
         self.probe_tokens = (self.probe_tokens + paid).min(self.ready() as f64);
-        let (value, probed) = (self.value(terms.worth, new.tenant), !self.probes_tell());
-        let long = new.arriving;
+        let (value, probed) = (self.value(terms.value, new.tenant), !self.probes_tell());
+        let long = new.body_streaming;
         let request =
             Request { class: present, terms: all, weight, value, until, probed, ..Request::default() };
         let request = Request { long, arriving, ..request };
@@ -38,10 +38,10 @@
     /// Until when an answer is worth waiting for, if the request has just come.
     pub(super) fn until(&mut self, new: &NewRequest, class: Option<usize>, terms: &Class) -> Duration {
         // The timer comes a tick late at most, and the answer must be there before the client leaves.
-        let deadline = self.now + new.remaining.saturating_sub(2 * self.settings.tick);
-        let stretch = new.cost.unwrap_or_default().mul_f64(terms.aim_stretch.clamp(0.0, 1e3));
-        let aim = (self.now + terms.aim + stretch).saturating_sub(self.spent(new, class, terms.deadline));
-        if terms.late_worth > 0.0 { deadline } else { deadline.min(aim) }
+        let deadline = self.now + new.remaining.saturating_sub(2 * self.settings.timer_resolution);
+        let stretch = new.cost.unwrap_or_default().mul_f64(terms.target_stretch.clamp(0.0, 1e3));
+        let aim = (self.now + terms.latency_target + stretch).saturating_sub(self.spent(new, class, terms.deadline));
+        if terms.late_value > 0.0 { deadline } else { deadline.min(aim) }
     }
 
     /// All of a long request has come: its time runs from now on, and so does that of its attempt.
@@ -106,8 +106,8 @@
         if request.out() > 0 && self.now < request.until {
             return; // what is out may still be answered
         }
-        let harmless = match request.terms.class.repeat {
-            Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. } => true,
+        let harmless = match request.terms.class.retry_safety {
+            RetrySafety::Idempotent | RetrySafety::Keyed { scope: DedupScope::All, .. } => true,
             _ => !request.attempts.iter().any(Attempt::may_have_run),
         };
         let retry_after = self.settings.limits.max_retry_after;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -21,14 +21,14 @@
     /// Rule 2: what may have run is sent again only as its class allows.
     pub(super) fn repeat_allows(&self, server: &Server, request: &Request) -> bool {
         let Some(first) = request.attempts.iter().find(|a| a.may_have_run()) else { return true };
-        match request.terms.class.repeat {
-            Repeat::Safe => true,
-            Repeat::Unsafe => false,
-            Repeat::Keyed { scope, window } => {
+        match request.terms.class.retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::NonIdempotent => false,
+            RetrySafety::Keyed { scope, window } => {
                 let together = match scope {
-                    Scope::All => true,
-                    Scope::Zone => first.to.zone == server.entry.zone,
-                    Scope::Cell => first.to.cell == server.entry.cell,
+                    DedupScope::All => true,
+                    DedupScope::Zone => first.to.zone == server.entry.zone,
+                    DedupScope::Cell => first.to.cell == server.entry.cell,
                 };
                 together && self.now < first.sent + window
             }
@@ -39,13 +39,13 @@
     pub(super) fn may_go(&self, request: &Request) -> bool {
         let Some(last) = request.attempts.iter().rfind(|a| a.outcome.is_none()) else { return true };
         let silent = self.now >= last.sent + self.patience_with(request).mul_f64(0.99);
-        self.settings.limits.parallel_attempts && request.out() < 2 && silent && !request.long
+        self.settings.limits.hedging && request.out() < 2 && silent && !request.long
     }
 
     /// How long an attempt may be silent: a multiple of the median answer, which few answers exceed.
     pub(super) fn patience_with(&self, request: &Request) -> Duration {
         let usual = self.median(request.class).mul_f64(request.weight.clamp(1.0, 1e3));
-        usual.mul_f64(SILENT).max(2 * self.settings.tick)
+        usual.mul_f64(SILENT).max(2 * self.settings.timer_resolution)
     }
 
     /// The median time of an answer to this class, or to all where none of its own is known.
--- a/src/policy/pick.rs
+++ b/src/policy/selection.rs
@@ -1,6 +1,6 @@
 //! The pick: Join-Up-To(m), the soft gates on crowded servers, and the probes that tell of idle ones.
 
-use super::figures::{LEVELS, PRICE_SPEND, SMOOTH};
+use super::constants::{LOAD_LEVELS, COST_BUDGET, SMOOTH};
 use crate::interface::*;
 use crate::state::{Balancer, Server};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 /// A list for as many as are ever compared.
 pub(super) fn few<T>(some: impl Iterator<Item = T>) -> Vec<T> {
-    let mut few = Vec::with_capacity(LEVELS);
+    let mut few = Vec::with_capacity(LOAD_LEVELS);
     few.extend(some);
     few
 }
@@ -30,16 +30,16 @@
 
     /// The load that a probe told of lately, with own sends since.
     pub(super) fn fresh_load(&self, server: &Server) -> Option<f64> {
-        server.load.filter(|&(_, at)| self.probes_tell() && self.fresh(at)).map(|(load, _)| load)
+        server.load.filter(|&(_, at)| self.probes_tell() && self.is_fresh(at)).map(|(load, _)| load)
     }
 
     /// A queue turns over within about one answer time; then news of it is old.
-    pub(super) fn fresh(&self, at: Duration) -> bool {
+    pub(super) fn is_fresh(&self, at: Duration) -> bool {
         (self.now - at).as_secs_f64() <= self.answer_time / 4.0
     }
 
     pub(super) fn probes_tell(&self) -> bool {
-        self.settings.reports == ReportSource::Probes && self.settings.limits.probes
+        self.settings.report_source == ReportSource::Probes && self.settings.limits.probes
     }
 
     /// Soft gate: at this crowding, at least three in four of what was sent have come back in time; luck
@@ -49,7 +49,7 @@
         let crowd = self.crowd(server);
         let level = crowd.round() as usize;
         let open =
-            chance <= self.taken_at(server) && (level == 0 || self.in_time[level.min(LEVELS - 1)] >= 0.75);
+            chance <= self.taken_at(server) && (level == 0 || self.in_time_by_load[level.min(LOAD_LEVELS - 1)] >= 0.75);
         // A few are tried in any case, or else nothing would tell of better times.
         (open || server.out == 0 && chance < SMOOTH / 2.0).then_some(crowd)
     }
@@ -75,7 +75,7 @@
     /// a sign lapses once they may have sent there too.
     pub(super) fn estimate(&self, server: &Server, cap: u32) -> u32 {
         let lapses = self.probes_tell() && self.nodes() > 1;
-        if lapses && !server.idle_at.is_some_and(|at| self.fresh(at)) { cap } else { server.count }
+        if lapses && !server.idle_at.is_some_and(|at| self.is_fresh(at)) { cap } else { server.count }
     }
 
     /// The cap m of Theorem 6 of the paper, from own sends for each idle sign (its lambda / delta) and the
@@ -96,17 +96,17 @@
     /// How many servers to choose from: no more than own traffic can keep in view, since a server seen once a
     /// minute is never known to be slow or gone. Where connections have a price, all nodes together keep it
     /// within a hundredth of the service. Each has a server for every request at once and two to choose from.
-    pub(super) fn enough(&self) -> usize {
-        let affordable = 100.0 * PRICE_SPEND / self.settings.prices.connections;
+    pub(super) fn candidate_limit(&self) -> usize {
+        let affordable = 100.0 * COST_BUDGET / self.settings.prices.connections;
         let part = affordable * self.ready() as f64 / f64::from(self.nodes());
-        let rate = self.sent.per_s(self.now, self.memory());
+        let rate = self.sent.per_s(self.now, self.rate_window());
         let sightings = SIGHTINGS / if self.probes_tell() { 2.0 } else { 1.0 };
-        let in_view = (rate * self.memory()).max(FEW * SIGHTINGS) / sightings;
-        (part.min(in_view).max(2.0 + rate * self.answer_time) as usize).min(LEVELS)
+        let in_view = (rate * self.rate_window()).max(FEW * SIGHTINGS) / sightings;
+        (part.min(in_view).max(2.0 + rate * self.answer_time) as usize).min(LOAD_LEVELS)
     }
 
     /// Rates are taken over a few of the spans in which a cold server is judged.
-    pub(super) fn memory(&self) -> f64 {
+    pub(super) fn rate_window(&self) -> f64 {
         3.0 * self.settings.rules.overload_time.as_secs_f64().max(1e-3)
     }
 
@@ -131,7 +131,7 @@
         }
         self.held.push(id);
         // A server that answers a probe later than this is no place to send to.
-        let patience = Duration::from_secs_f64(self.answer_time / 16.0).max(4 * self.settings.tick);
+        let patience = Duration::from_secs_f64(self.answer_time / 16.0).max(4 * self.settings.timer_resolution);
         actions.push(Action::SetTimer { after: patience, token: id.0 });
         true
     }
--- a/src/policy/list.rs
+++ b/src/policy/server_list.rs
@@ -1,6 +1,6 @@
 //! The server list: what it changes, the ring that it makes, and when it is asked for.
 
-use super::figures::TICK;
+use super::constants::TICK;
 use crate::interface::*;
 use crate::state::{Balancer, Server, margin, merge_ring};
 use std::time::Duration;
@@ -22,12 +22,12 @@
             (self.ask_at, self.ask_wait) = (None, Duration::ZERO);
         }
         // One newly listed or restarted has the usual estimate: at zero all nodes would join it at once.
-        let near = self.enough().min(self.order.len());
+        let near = self.candidate_limit().min(self.ready_ring.len());
         let count = self.ring(None).take(near).map(|server| server.count).sum::<u32>() / near.max(1) as u32;
         let whole = matches!(kind, ListKind::Full | ListKind::Cached);
         if whole {
             self.servers.values_mut().for_each(|s| s.entry.state = ServerState::Gone);
-            self.order.clear();
+            self.ready_ring.clear();
         }
         let mut changes = Vec::with_capacity(entries.len());
         for entry in entries {
@@ -38,14 +38,14 @@
             if entry.state != ServerState::Gone {
                 self.servers.put(place, Server { entry, ..if same { old } else { new } });
             }
-            let warm_at = entry.started.map(|at| at + margin(self.settings.rules.warm_after));
+            let warm_at = entry.started.map(|at| at + margin(self.settings.rules.warm_up_time));
             self.warm_at = self.warm_at.max(warm_at.unwrap_or_default());
             changes.push((entry.id.ring_position(), (entry.state == ServerState::Ready).then_some(place)));
             if entry.state == ServerState::Gone {
                 self.servers.remove(&entry.id);
             }
         }
-        merge_ring(&mut self.order, changes);
+        merge_ring(&mut self.ready_ring, changes);
         if whole {
             self.servers.gone().iter().for_each(|id| self.servers.remove(id));
         }
@@ -54,16 +54,16 @@
     /// All nodes see the same ring of ready servers and start evenly spaced, so that each has as many nodes.
     pub(super) fn ring(&self, zone: Option<u8>) -> impl Iterator<Item = &Server> {
         let first = match self.held_rings.iter().find(|ring| ring.zone == zone) {
-            Some(held) => self.order.partition_point(|(at, _)| *at < held.first),
-            None => self.ring_layout().first(self.order.len()),
+            Some(held) => self.ready_ring.partition_point(|(at, _)| *at < held.first),
+            None => self.ring_layout().first_rank(self.ready_ring.len()),
         };
-        let (before, after) = self.order.split_at(first);
+        let (before, after) = self.ready_ring.split_at(first);
         after.iter().chain(before).map(|(_, place)| self.servers.at(*place))
     }
 
     /// Discovery must be asked again within this.
     pub(super) fn ask_within(&self) -> Duration {
-        self.settings.rules.ask_within.clamp(LEAST_WITHIN, TOLD_AFTER)
+        self.settings.rules.list_refresh_interval.clamp(LEAST_WITHIN, TOLD_AFTER)
     }
 
     /// Where the list must be asked for: asks when it is time, and again if no answer came.
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -6,38 +6,38 @@
 //! changes no decision (`tests/subset.rs`). Where a request may be sent again only within a cell, the cells
 //! of the part's servers are held whole, for these requests alone.
 
-use super::figures::LEVELS;
+use super::constants::LOAD_LEVELS;
 use crate::interface::RingLayout;
 use crate::state::Balancer;
 
 /// The least that a part may be: judging a server looks at twice as many as are compared at the most.
-pub const LEAST_SUBSET: usize = 2 * LEVELS;
+pub const LEAST_SUBSET: usize = 2 * LOAD_LEVELS;
 /// One server more in so many is held before the first in use: that moves to and fro by one as servers
 /// come and go, and what is known of a server is forgotten when it leaves.
 const BEFORE: usize = 8;
 
 /// Servers in a row on a ring, by rank; past the last one it goes on with the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stretch {
+pub struct RingRange {
     /// The rank of the first one held.
-    pub begins: usize,
+    pub start: usize,
     /// How many are held.
     pub length: usize,
 }
 
 impl RingLayout {
     /// The rank of the first server that the node uses, of a ring with so many ready servers.
-    pub fn first(&self, ready: usize) -> usize {
+    pub fn first_rank(&self, ready: usize) -> usize {
         self.node % self.nodes * ready / self.nodes
     }
 
     /// What the node holds of such a ring: `servers` from the first that it uses, and a few before it.
-    pub fn stretch(&self, ready: usize, servers: usize) -> Stretch {
+    pub fn held_range(&self, ready: usize, servers: usize) -> RingRange {
         let before = servers / BEFORE;
         if servers + before >= ready {
-            return Stretch { begins: 0, length: ready };
+            return RingRange { start: 0, length: ready };
         }
-        Stretch { begins: (self.first(ready) + ready - before) % ready, length: servers + before }
+        RingRange { start: (self.first_rank(ready) + ready - before) % ready, length: servers + before }
     }
 }
 
@@ -51,7 +51,7 @@
     /// How many servers are ready, held or not.
     pub(super) fn ready(&self) -> usize {
         if self.held_rings.is_empty() {
-            return self.order.len();
+            return self.ready_ring.len();
         }
         self.held_rings.iter().map(|ring| ring.ready).sum()
     }
--- a/src/policy/zones.rs
+++ b/src/policy/zones.rs
@@ -2,7 +2,7 @@
 //! little by little, as costs differ: towards the nearest zone, away from where requests take more of their
 //! time, away fast from where most servers fail, and back slowly.
 
-use super::figures::SMOOTH;
+use super::constants::SMOOTH;
 use crate::interface::*;
 use crate::state::{Balancer, Rate, Request, Server, Sign, Zone};
 use std::collections::{BTreeMap, VecDeque};
@@ -69,14 +69,14 @@
                 first = Some(**zone);
             }
         }
-        let once = request.terms.class.repeat != Repeat::Safe;
+        let once = request.terms.class.retry_safety != RetrySafety::Idempotent;
         let tried = request.attempts.iter().rfind(|a| a.may_have_run()).map(|a| a.to.zone);
         let left = request.until.saturating_sub(self.now);
         let rank = |zone: u8, it: &Zone| {
             let (step, round_trip) = self.distance(zone);
             let in_time = round_trip + self.median(request.class) <= left;
             // Trials are for what may be sent again; seldom another, or a class of others would never tell.
-            let trial = it.standing == Standing::Left && once && draw * 4.0 % 1.0 > SMOOTH;
+            let trial = it.standing == ZoneState::FailedOver && once && draw * 4.0 % 1.0 > SMOOTH;
             let doubtful = tried == Some(zone) && it.ill > SOUND && !once;
             (!in_time, trial, doubtful, first != Some(zone), it.ill > LEFT, step)
         };
@@ -94,10 +94,10 @@
         draw: f64,
         luck: f64,
     ) -> impl Iterator<Item = (Option<u8>, Vec<&'a Server>)> {
-        let enough = self.enough();
+        let enough = self.candidate_limit();
         let of = move |zone| {
             let permitted = self.ring_in(zone).filter(|s| self.permitted(s, request));
-            super::pick::few(permitted.take(enough))
+            super::selection::few(permitted.take(enough))
         };
         let by_zone = self.settings.zones.is_some();
         let mut whole = (!by_zone).then_some(None);
@@ -176,34 +176,34 @@
         let largest = zones.values().map(|it| it.share).fold(0.0, f64::max);
         for (zone, it) in zones.iter_mut() {
             it.evacuated = it.evacuated.filter(|until| *until > now);
-            let back = plan.return_time * it.caution.max(1);
+            let back = plan.failback_time * it.caution.max(1);
             let next = match it.standing {
-                _ if it.evacuated.is_some() && working == 0 => Standing::Needed,
-                _ if it.evacuated.is_some() => Standing::Evacuated,
+                _ if it.evacuated.is_some() && working == 0 => ZoneState::EvacuationSuspended,
+                _ if it.evacuated.is_some() => ZoneState::Evacuated,
                 // Where no zone works, none is left.
-                Standing::Sound | Standing::Returning | Standing::Left if it.ill > LEFT && working > 0 => {
-                    Standing::Left
+                ZoneState::Healthy | ZoneState::FailingBack | ZoneState::FailedOver if it.ill > LEFT && working > 0 => {
+                    ZoneState::FailedOver
                 }
-                Standing::Left if it.ill >= SOUND => Standing::Left,
-                Standing::Left | Standing::Evacuated | Standing::Needed => Standing::Returning,
-                Standing::Returning if now < it.since + back && it.share < largest => Standing::Returning,
-                _ => Standing::Sound,
+                ZoneState::FailedOver if it.ill >= SOUND => ZoneState::FailedOver,
+                ZoneState::FailedOver | ZoneState::Evacuated | ZoneState::EvacuationSuspended => ZoneState::FailingBack,
+                ZoneState::FailingBack if now < it.since + back && it.share < largest => ZoneState::FailingBack,
+                _ => ZoneState::Healthy,
             };
             if next == it.standing {
                 // Long after its last relapse a zone is trusted as before.
                 it.caution = if now > it.since + 2 * back { it.caution / 2 } else { it.caution };
                 continue;
             }
-            if next == Standing::Returning {
+            if next == ZoneState::FailingBack {
                 // How crowded and slow it was before it was left says nothing now.
                 (it.taken, it.cost, it.seen) = (2.0, Rate::default(), Rate::default());
             }
-            if next == Standing::Left {
-                it.share /= if it.standing == Standing::Returning { 2.0 } else { 1.0 };
+            if next == ZoneState::FailedOver {
+                it.share /= if it.standing == ZoneState::FailingBack { 2.0 } else { 1.0 };
                 it.caution = (2 * it.caution).clamp(1, MOST_CAUTION);
             }
             let text =
-                format!("zone {zone}: {:?} after {:?}, {:.2} of its servers ill", next, it.standing, it.ill);
+                format!("zone {zone}: {} after {}, {:.2} of its servers ill", next, it.standing, it.ill);
             actions.push(Action::Log { text });
             (it.standing, it.since) = (next, now);
         }
@@ -212,15 +212,15 @@
     /// Moves the shares by what each zone costs, and so that they sum to 1.
     fn share_out(&self, zones: &mut BTreeMap<u8, Zone>, plan: &Zones, passed: f64, all: usize) {
         let (now, over) = (self.now, self.settings.rules.overload_time.as_secs_f64());
-        let pull = SPAN / plan.return_time.as_secs_f64().max(1.0);
-        let aim = self.settings.classes.iter().map(|class| class.aim).min().unwrap_or_default();
+        let pull = SPAN / plan.failback_time.as_secs_f64().max(1.0);
+        let aim = self.settings.classes.iter().map(|class| class.latency_target).min().unwrap_or_default();
         let aim = aim.as_secs_f64().max(1e-3);
         let known = zones.values().filter(|it| it.ready > 0).filter_map(|it| it.slow(now, over));
         let usual = known.fold(1.0, f64::min);
-        let present = |it: &&Zone| it.ready > 0 && it.standing != Standing::Evacuated;
+        let present = |it: &&Zone| it.ready > 0 && it.standing != ZoneState::Evacuated;
         let least = zones.values().filter(present).map(|it| it.ill).fold(1.0, f64::min);
         // Nearness counts from the nearest that is sound: who returns to a nearer one goes by its caution.
-        let settled = |it: &Zone| it.ready > 0 && it.standing == Standing::Sound;
+        let settled = |it: &Zone| it.ready > 0 && it.standing == ZoneState::Healthy;
         let sound = zones.iter().filter(|(_, it)| settled(it)).map(|(zone, _)| self.distance(*zone).0);
         let sound = sound.fold(f64::MAX, f64::min);
         let nearest = zones.iter().filter(|(_, it)| present(it)).map(|(zone, _)| self.distance(*zone).0);
@@ -237,10 +237,10 @@
             let slow = it.slow(now, over).unwrap_or(usual + round_trip.as_secs_f64() / aim).min(1.0);
             let price = if step > 0.0 { self.settings.prices.cross_zone } else { 0.0 };
             let mut speed = -pull * near - pull / MARGIN * (slow - usual + price);
-            if it.standing == Standing::Returning {
+            if it.standing == ZoneState::FailingBack {
                 speed = speed.min(pull / f64::from(it.caution.max(1)));
             }
-            if it.standing == Standing::Left || it.standing == Standing::Evacuated {
+            if it.standing == ZoneState::FailedOver || it.standing == ZoneState::Evacuated {
                 speed = speed.min(-HARD);
             }
             it.share *= (speed * passed).exp();
@@ -252,8 +252,8 @@
         let sum: f64 = zones.values().map(|it| it.share).sum();
         for it in zones.values_mut() {
             let floor = match it.standing {
-                Standing::Evacuated => 0.0,
-                Standing::Left => TRIALS,
+                ZoneState::Evacuated => 0.0,
+                ZoneState::FailedOver => TRIALS,
                 _ => FLOOR / others,
             };
             let share = if sum > 0.0 { it.share / sum } else { 1.0 };
@@ -268,7 +268,7 @@
         let until = lasts.map(|lasts| self.now + lasts);
         self.zones.entry(zone).and_modify(|it| it.evacuated = until);
         self.tend_zones(true, actions);
-        if self.zones.get(&zone).is_some_and(|it| it.standing == Standing::Needed) {
+        if self.zones.get(&zone).is_some_and(|it| it.standing == ZoneState::EvacuationSuspended) {
             self.zones.entry(zone).and_modify(|it| it.evacuated = None);
             self.tend_zones(true, actions);
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -12,27 +12,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub use names::{NameProblem, Names, TooManyNames};
+pub use names::{NameError, NameTable, TooManyNames};
 pub use text::parse;
 
 /// Why a settings text, or what it says of zones, can't be used. Each names the key, what stands there and what may.
 #[derive(Debug, thiserror::Error)]
-pub enum Problem {
+pub enum SettingsError {
     /// It is no JSON, or a key is missing or of another kind: mend the place that it names.
     #[error("bad settings: {0}")]
-    Form(#[from] serde_json::Error),
+    Syntax(#[from] serde_json::Error),
     /// Requests need a class: add one.
     #[error("bad settings: Classes = []: expected one class at least")]
     NoClasses,
     /// A zone is in one region: leave it in that one.
     #[error("zones.regions: {name:?} stands in two places; expected each zone once")]
-    ZoneTwice {
+    DuplicateZone {
         /// The zone.
         name: String,
     },
     /// A time is out of its bounds: give another.
     #[error("zones.{key} = {value}: expected {least} to {most}")]
-    ZoneTime {
+    ZoneTimeOutOfRange {
         /// Its key below `zones`.
         key: String,
         /// What stands there.
@@ -47,7 +47,7 @@
 /// A load report's columns, in the order of their values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Column {
+pub enum ReportColumn {
     /// Requests held.
     Concurrent,
     /// Requests waiting.
@@ -65,31 +65,31 @@
     Unknown,
 }
 
-impl Column {
+impl ReportColumn {
     /// The column that a load report in a header or a probe's body calls by this name: the protocol's own
     /// word for it, or the one that the settings use.
-    pub fn on_sockets(name: &str) -> Self {
+    pub fn from_wire_name(name: &str) -> Self {
         match name {
-            "inflight" | "concurrent" => Column::Concurrent,
-            "queue" | "depth" => Column::Depth,
-            "util" | "load_share" => Column::LoadShare,
-            "latency_ms" | "mean_ms" => Column::MeanMs,
-            "qps" | "tps" => Column::Tps,
-            "eps" | "err_ps" => Column::ErrPs,
-            _ => Column::Unknown,
+            "inflight" | "concurrent" => ReportColumn::Concurrent,
+            "queue" | "depth" => ReportColumn::Depth,
+            "util" | "load_share" => ReportColumn::LoadShare,
+            "latency_ms" | "mean_ms" => ReportColumn::MeanMs,
+            "qps" | "tps" => ReportColumn::Tps,
+            "eps" | "err_ps" => ReportColumn::ErrPs,
+            _ => ReportColumn::Unknown,
         }
     }
 
     /// Puts a value in its place. What is no finite number is left out.
     pub fn set(self, report: &mut LoadReport, value: f32) {
         let field = match self {
-            Column::Concurrent => &mut report.in_flight,
-            Column::Depth => &mut report.queue,
-            Column::LoadShare => &mut report.utilisation,
-            Column::MeanMs => &mut report.latency_ms,
-            Column::Tps => &mut report.throughput,
-            Column::ErrPs => &mut report.errors,
-            Column::Unknown => return,
+            ReportColumn::Concurrent => &mut report.in_flight,
+            ReportColumn::Depth => &mut report.queue,
+            ReportColumn::LoadShare => &mut report.utilisation,
+            ReportColumn::MeanMs => &mut report.latency_ms,
+            ReportColumn::Tps => &mut report.throughput,
+            ReportColumn::ErrPs => &mut report.errors,
+            ReportColumn::Unknown => return,
         };
         *field = value.is_finite().then_some(value);
     }
@@ -97,28 +97,28 @@
 
 /// All that a node takes from its settings text.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct SiteSettings {
     /// What the module is told.
     pub settings: Settings,
     /// Which value of a load report is which.
-    pub columns: Vec<Column>,
+    pub columns: Vec<ReportColumn>,
     /// The names of the classes, in the order of [`Settings::classes`].
-    pub class_names: Names,
+    pub class_names: NameTable,
     /// The names of the tenants, in the order of [`Settings::tenants`].
-    pub tenant_names: Names,
+    pub tenant_names: NameTable,
     /// The names of the zones, in the order of their numbers.
     pub zone_names: Vec<String>,
     /// The names of the machine kinds, in the order of their numbers.
     pub kind_names: Vec<String>,
     /// A server closes a connection that has been idle for so long.
-    pub idle_close: Duration,
+    pub server_idle_timeout: Duration,
     /// Whether nodes may send one another messages.
-    pub peers: bool,
+    pub peer_messages: bool,
 }
 
-impl Site {
+impl SiteSettings {
     /// Zones and machine kinds keep the numbers that they had under earlier settings, whose servers are listed.
-    pub fn number_as(&mut self, earlier: &Site) {
+    pub fn keep_numbering(&mut self, earlier: &SiteSettings) {
         let zone = self.zone_names.get(usize::from(self.settings.zone)).cloned();
         for (names, before) in
             [(&mut self.zone_names, &earlier.zone_names), (&mut self.kind_names, &earlier.kind_names)]
@@ -134,24 +134,24 @@
 
 /// New settings for a node that runs, and what its balancer has to know of them. All that takes long is done when it is
 /// made, which may be on another thread.
-pub struct Replacement {
+pub struct SettingsUpdate {
     /// The new settings.
-    pub site: Arc<Site>,
-    /// The balancer's own copy of [`Site::settings`].
+    pub site: Arc<SiteSettings>,
+    /// The balancer's own copy of [`SiteSettings::settings`].
     pub settings: Box<Settings>,
     /// For each class, where it stood in the settings before, if it did.
-    pub classes: Vec<Option<usize>>,
+    pub previous_classes: Vec<Option<usize>>,
     /// For each tenant, likewise.
-    pub tenants: Vec<Option<usize>>,
+    pub previous_tenants: Vec<Option<usize>>,
 }
 
-impl Replacement {
+impl SettingsUpdate {
     /// What replaces the settings `earlier`.
-    pub fn new(site: Arc<Site>, earlier: &Site) -> Self {
-        Replacement {
+    pub fn new(site: Arc<SiteSettings>, earlier: &SiteSettings) -> Self {
+        SettingsUpdate {
             settings: Box::new(site.settings.clone()),
-            classes: site.class_names.places_in(&earlier.class_names),
-            tenants: site.tenant_names.places_in(&earlier.tenant_names),
+            previous_classes: site.class_names.indices_in(&earlier.class_names),
+            previous_tenants: site.tenant_names.indices_in(&earlier.tenant_names),
             site,
         }
     }
@@ -160,7 +160,7 @@
 /// Zones and regions, as a configuration tells them: by name.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ZonesText {
+pub struct ZonesConfig {
     /// The zones of each region; a zone that is in none is a region of its own.
     #[serde(default)]
     pub regions: BTreeMap<String, Vec<String>>,
@@ -183,13 +183,13 @@
     900.0
 }
 
-impl ZonesText {
+impl ZonesConfig {
     /// Whether all of it makes sense, or the first thing that does not.
-    pub fn check(&self) -> Result<(), Problem> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let mut seen = HashSet::new();
         let twice = self.regions.values().flatten().find(|name| !seen.insert(*name));
         if let Some(name) = twice {
-            return Err(Problem::ZoneTwice { name: name.to_string() });
+            return Err(SettingsError::DuplicateZone { name: name.to_string() });
         }
         let latencies =
             self.latency_ms.iter().map(|(name, ms)| (format!("latency_ms.{name}"), *ms, 0.0, 60_000.0));
@@ -197,14 +197,14 @@
         let evacuation_s = ("evacuation_s".to_string(), self.evacuation_s, 1.0, 86_400.0);
         for (key, value, least, most) in latencies.chain([return_s, evacuation_s]) {
             if !(least..=most).contains(&value) {
-                return Err(Problem::ZoneTime { key, value, least, most });
+                return Err(SettingsError::ZoneTimeOutOfRange { key, value, least, most });
             }
         }
         Ok(())
     }
 
     /// The same by the numbers of the zones.
-    pub fn by_number(&self, names: &[String]) -> Zones {
+    pub fn to_zones(&self, names: &[String]) -> Zones {
         let mut region_of = HashMap::new();
         for (region, zones) in self.regions.values().enumerate() {
             for zone in zones {
@@ -218,7 +218,7 @@
         Zones {
             round_trip: names.iter().map(round_trip).collect(),
             region: names.iter().enumerate().map(region).collect(),
-            return_time: millis(self.return_s * 1e3),
+            failback_time: millis(self.return_s * 1e3),
         }
     }
 }
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -11,14 +11,14 @@
 
 /// The place of a name that can't be known by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NameProblem {
+pub enum NameError {
     /// It is empty.
     Empty {
         /// Its place, from 0.
-        place: usize,
+        index: usize,
     },
     /// It stands at an earlier place too.
-    Twice {
+    Duplicate {
         /// Its first place, from 0.
         first: usize,
         /// The second one.
@@ -28,13 +28,13 @@
 
 /// Names in the order of their numbers. Memory: the bytes of the names, and about 10 bytes for each.
 #[derive(Clone, Default)]
-pub struct Names {
+pub struct NameTable {
     text: String,
     /// Where each name ends in `text`.
     ends: Vec<u32>,
     /// The first number of each name, by the name's hash.
     numbers: HashTable<u32>,
-    problem: Option<NameProblem>,
+    problem: Option<NameError>,
 }
 
 /// There are more names, or longer ones, than can be numbered: use fewer.
@@ -55,7 +55,7 @@
     text.get(start..end)
 }
 
-impl Names {
+impl NameTable {
     /// Adds a name, whose number is the count of those before it.
     ///
     /// # Errors
@@ -67,8 +67,8 @@
         self.text.push_str(name);
         self.ends.push(end);
         let problem = match first {
-            _ if name.is_empty() => Some(NameProblem::Empty { place }),
-            Some(first) => Some(NameProblem::Twice { first, second: place }),
+            _ if name.is_empty() => Some(NameError::Empty { index: place }),
+            Some(first) => Some(NameError::Duplicate { first, second: place }),
             None => None,
         };
         self.problem = self.problem.or(problem);
@@ -113,12 +113,12 @@
     }
 
     /// The first name that is empty or stands twice.
-    pub fn problem(&self) -> Option<NameProblem> {
+    pub fn error(&self) -> Option<NameError> {
         self.problem
     }
 
     /// For a message: the names with commas between, and of many the first ones and how many there are.
-    pub fn listed(&self) -> String {
+    pub fn summary(&self) -> String {
         let mut listed = self.iter().take(SHOWN).collect::<Vec<_>>().join(", ");
         if self.len() > SHOWN {
             listed.push_str(&format!(", ... ({} in all)", self.len()));
@@ -127,7 +127,7 @@
     }
 
     /// Where each name stood among earlier ones.
-    pub fn places_in(&self, earlier: &Names) -> Vec<Option<usize>> {
+    pub fn indices_in(&self, earlier: &NameTable) -> Vec<Option<usize>> {
         self.iter().map(|name| earlier.position(name)).collect()
     }
 
@@ -137,13 +137,13 @@
     }
 }
 
-impl fmt::Debug for Names {
+impl fmt::Debug for NameTable {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.debug_list().entries(self.iter()).finish()
     }
 }
 
-impl<const N: usize> PartialEq<[&str; N]> for Names {
+impl<const N: usize> PartialEq<[&str; N]> for NameTable {
     fn eq(&self, other: &[&str; N]) -> bool {
         self.iter().eq(other.iter().copied())
     }
--- a/src/settings/text.rs
+++ b/src/settings/text.rs
@@ -1,7 +1,7 @@
 //! The settings text as it is written, in the wire's words, and its reading. Classes and tenants, of which there may be
 //! many, are taken in one at a time.
 
-use super::{Column, Names, Problem, Site, millis};
+use super::{ReportColumn, NameTable, SettingsError, SiteSettings, millis};
 use crate::interface::*;
 use serde::de::{SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
@@ -108,19 +108,19 @@
         &self.name
     }
     fn keep(&self) -> Tenant {
-        Tenant { allowance_per_s: self.allowance_per_s, share: self.share }
+        Tenant { rate_limit_per_s: self.allowance_per_s, share: self.share }
     }
 }
 
 /// Entries with their names, taken in one at a time, so that the many of a large file never stand in memory twice.
 struct Listed<T> {
     kept: Vec<T>,
-    names: Names,
+    names: NameTable,
 }
 
 impl<T> Default for Listed<T> {
     fn default() -> Self {
-        Listed { kept: Vec::new(), names: Names::default() }
+        Listed { kept: Vec::new(), names: NameTable::default() }
     }
 }
 
@@ -148,7 +148,7 @@
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 struct RawReport {
-    columns: Vec<Column>,
+    columns: Vec<ReportColumn>,
     via: Via,
 }
 
@@ -272,10 +272,10 @@
 }
 
 /// Reads the settings text.
-pub fn parse(text: &[u8]) -> Result<Site, Problem> {
+pub fn parse(text: &[u8]) -> Result<SiteSettings, SettingsError> {
     let raw: Raw = serde_json::from_slice(text)?;
     if raw.classes.kept.is_empty() {
-        return Err(Problem::NoClasses);
+        return Err(SettingsError::NoClasses);
     }
     let settings = Settings {
         nodes: raw.n_instances.max(1),
@@ -283,9 +283,9 @@
         zone: raw.zone,
         classes: raw.classes.kept,
         tenants: raw.projects.kept,
-        over_share_worth: raw.over_share_worth,
-        worth_by_work: matches!(raw.counted_by, CountedBy::Work),
-        reports: match raw.load_report.via {
+        over_share_value: raw.over_share_worth,
+        value_by_work: matches!(raw.counted_by, CountedBy::Work),
+        report_source: match raw.load_report.via {
             Via::Piggyback => ReportSource::Answers,
             Via::Pull => ReportSource::Probes,
             Via::Silent => ReportSource::None,
@@ -300,43 +300,43 @@
             connections: raw.prices.connection + raw.prices.handshake,
         },
         goal: Goal {
-            whole: raw.goal.whole,
+            overall: raw.goal.whole,
             worst_window: raw.goal.worst_window,
             worst_class: raw.goal.worst_class,
             worst_tenant: raw.goal.worst_tenant,
         },
         list_on_request: matches!(raw.registry_mode, Mode::Ask),
-        tick: millis(raw.quantum),
+        timer_resolution: millis(raw.quantum),
         zones: None,
     };
-    Ok(Site {
+    Ok(SiteSettings {
         settings,
         columns: raw.load_report.columns,
         class_names: raw.classes.names,
         tenant_names: raw.projects.names,
         zone_names: raw.localities,
         kind_names: raw.host_types,
-        idle_close: millis(raw.permissions.idle_close),
-        peers: raw.permissions.peers,
+        server_idle_timeout: millis(raw.permissions.idle_close),
+        peer_messages: raw.permissions.peers,
     })
 }
 
 fn class(raw: &RawClass) -> Class {
     let scope = match raw.group {
-        Group::All => Scope::All,
-        Group::Zone => Scope::Zone,
-        Group::Cell => Scope::Cell,
+        Group::All => DedupScope::All,
+        Group::Zone => DedupScope::Zone,
+        Group::Cell => DedupScope::Cell,
     };
     Class {
-        aim: millis(raw.target),
-        aim_stretch: raw.aim_stretch,
+        latency_target: millis(raw.target),
+        target_stretch: raw.aim_stretch,
         deadline: millis(raw.give_up),
-        worth: raw.credit,
-        late_worth: raw.late_worth,
-        repeat: match raw.idempotency {
-            Idempotency::Free => Repeat::Safe,
-            Idempotency::Guarded => Repeat::Keyed { scope, window: millis(raw.window) },
-            Idempotency::SingleShot => Repeat::Unsafe,
+        value: raw.credit,
+        late_value: raw.late_worth,
+        retry_safety: match raw.idempotency {
+            Idempotency::Free => RetrySafety::Idempotent,
+            Idempotency::Guarded => RetrySafety::Keyed { scope, window: millis(raw.window) },
+            Idempotency::SingleShot => RetrySafety::NonIdempotent,
         },
         streamed: raw.stream,
     }
@@ -347,7 +347,7 @@
         max_attempts: raw.attempts_cap,
         cancel: raw.cancel,
         probes: raw.probes,
-        parallel_attempts: raw.parallel_tries,
+        hedging: raw.parallel_tries,
         max_retry_after: raw.retry_after.then(|| millis(raw.max_retry_after)),
         connect_timeout: millis(raw.connect_timeout),
     }
@@ -356,10 +356,10 @@
 fn rules(raw: &RawRules) -> Rules {
     Rules {
         drain_grace: millis(raw.drain_grace),
-        cold_share: raw.cold_from,
-        warm_after: millis(raw.ramp_time),
+        cold_capacity: raw.cold_from,
+        warm_up_time: millis(raw.ramp_time),
         overload_factor: raw.overload_factor,
         overload_time: millis(raw.tip_after),
-        ask_within: millis(raw.must_ask_in),
+        list_refresh_interval: millis(raw.must_ask_in),
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -58,7 +58,7 @@
     pub seen: Rate,
     /// What [`Balancer::taken`] is for all, for its servers alone: a zone that is crowded says nothing of another.
     pub taken: f64,
-    pub standing: Standing,
+    pub standing: ZoneState,
     pub since: Duration,
     /// How many times as slowly it returns: doubled by each relapse.
     pub caution: u32,
@@ -200,7 +200,7 @@
 pub struct Request {
     /// Where its class stands in the settings, if they still hold it.
     pub class: Option<usize>,
-    pub terms: Terms,
+    pub terms: RequestPolicy,
     /// Its work in units of the usual request's.
     pub weight: f64,
     /// Its worth against that of the usual request.
@@ -265,9 +265,9 @@
     pub(crate) now: Duration,
     pub(crate) servers: Servers,
     /// The ready servers, in the order of their ring: where on it each stands, and its place.
-    pub(crate) order: Vec<(u64, usize)>,
+    pub(crate) ready_ring: Vec<(u64, usize)>,
     /// The rings of which a part is held, one for each zone at most. Empty where all servers are held.
-    pub(crate) held_rings: Vec<HeldRing>,
+    pub(crate) held_rings: Vec<SubsetRing>,
     /// A class of the settings may be sent again within a cell alone.
     pub(crate) keyed_in_cells: bool,
     /// From then on no server that is listed is cold.
@@ -292,7 +292,7 @@
     /// Smoothed share of attempts answered in time, by how crowded the server was at the send; and the share
     /// of requests that servers not crowded at all are sent, steady at seven in eight in time; beyond 1 it is
     /// a reserve for chance misses.
-    pub(crate) in_time: Vec<f64>,
+    pub(crate) in_time_by_load: Vec<f64>,
     pub(crate) taken: f64,
     pub(crate) probe_tokens: f64,
     pub(crate) retry_tokens: f64,
@@ -307,7 +307,7 @@
     /// How long clients wait for a first try, by class.
     pub(crate) patience: Vec<Duration>,
     /// What the nodes know of one another, where they do.
-    pub(crate) tier: Option<Tier>,
+    pub(crate) tier: Option<FleetView>,
     /// Where the list must be asked for: when to ask next, and the wait after a failed call.
     pub(crate) ask_at: Option<Duration>,
     pub(crate) ask_wait: Duration,
@@ -323,7 +323,7 @@
 
 /// Whether a class may be sent again within a cell alone.
 fn keyed_in_cells(settings: &Settings) -> bool {
-    settings.classes.iter().any(|class| matches!(class.repeat, Repeat::Keyed { scope: Scope::Cell, .. }))
+    settings.classes.iter().any(|class| matches!(class.retry_safety, RetrySafety::Keyed { scope: DedupScope::Cell, .. }))
 }
 
 /// Where each of `count` earlier places is now, by where each of the present ones was before.
@@ -344,7 +344,7 @@
             rng,
             now: Default::default(),
             servers: Default::default(),
-            order: Default::default(),
+            ready_ring: Default::default(),
             held_rings: Default::default(),
             keyed_in_cells: keyed_in_cells(&settings),
             warm_at: Default::default(),
@@ -356,12 +356,12 @@
             medians: vec![Duration::ZERO; settings.classes.len()],
             failing: Default::default(),
             usual_cost: Default::default(),
-            usual_worth: settings.classes.iter().map(|c| c.worth).sum::<f64>()
+            usual_worth: settings.classes.iter().map(|c| c.value).sum::<f64>()
                 / settings.classes.len().max(1) as f64,
             sends: Default::default(),
             idle_signs: Default::default(),
             busy: Default::default(),
-            in_time: Default::default(),
+            in_time_by_load: Default::default(),
             taken: Default::default(),
             probe_tokens: Default::default(),
             retry_tokens: Default::default(),
@@ -423,7 +423,7 @@
     pub(crate) fn look_at(&self, zones: &mut BTreeMap<u8, Zone>, window: Duration) {
         zones.values_mut().for_each(|it| it.ready = 0);
         let mut news = BTreeMap::<u8, [f64; 3]>::new();
-        for (_, place) in &self.order {
+        for (_, place) in &self.ready_ring {
             let server = self.servers.at(*place);
             let new = || Zone { taken: self.taken, ..Zone::default() };
             zones.entry(server.entry.zone).or_insert_with(new).ready += 1;
@@ -451,12 +451,12 @@
         let view = |(zone, it): (&u8, &Zone)| ZoneView {
             zone: *zone,
             share: it.share,
-            ready: it.ready,
-            ill: it.ill,
-            slow: it.slow(self.now, over),
-            standing: it.standing,
+            ready_servers: it.ready,
+            unhealthy_share: it.ill,
+            latency_ratio: it.slow(self.now, over),
+            state: it.standing,
             since: it.since,
-            evacuated: it.evacuated,
+            evacuated_until: it.evacuated,
         };
         self.zones.iter().map(view).collect()
     }
@@ -484,7 +484,7 @@
         let allowance = |old: &Option<usize>| old.and_then(|old| self.allowances.get(old)).copied();
         self.allowances = tenants.iter().map(|old| allowance(old).unwrap_or_default()).collect();
         let started = self.servers.values_mut().filter_map(|server| server.entry.started);
-        self.warm_at = started.max().map(|at| at + margin(new.rules.warm_after)).unwrap_or_default();
+        self.warm_at = started.max().map(|at| at + margin(new.rules.warm_up_time)).unwrap_or_default();
         if new.zones.is_none() {
             self.zones.clear();
         }
--- a/tests/permuted.rs
+++ b/tests/class_order.rs
@@ -1,11 +1,11 @@
 //! Nothing depends on the order of classes and tenants: the same history under other numbers gives the same decisions.
 
-mod world;
+mod harness;
 
 use hillpick::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use world::*;
+use harness::*;
 
 const OUTCOMES: [Outcome; 6] =
     [Outcome::Served, Outcome::Error, Outcome::Rejected, Outcome::TimedOut, Outcome::Reset, Outcome::NotSent];
@@ -14,17 +14,17 @@
 fn varied(classes: &[usize], tenants: &[usize], mut settings: Settings) -> Settings {
     let all: Vec<_> = settings.classes.drain(..).enumerate().collect();
     let all = all.into_iter().map(|(i, class)| Class {
-        aim: ms([400, 100, 250, 5_000, 800][i]),
+        latency_target: ms([400, 100, 250, 5_000, 800][i]),
         deadline: ms([1_000, 100, 600, 5_000, 1_600][i]),
-        worth: [1.0, 4.0, 0.5, 2.0, 8.0][i],
-        late_worth: [0.0, 0.0, 0.25, 0.0, 0.0][i],
+        value: [1.0, 4.0, 0.5, 2.0, 8.0][i],
+        late_value: [0.0, 0.0, 0.25, 0.0, 0.0][i],
         ..class
     });
     let all: Vec<_> = all.collect();
     settings.classes = classes.iter().map(|i| all[*i].clone()).collect();
-    let of = |i: usize| Tenant { allowance_per_s: [3.0, 50.0, 1000.0][i], share: [0.25, 0.25, 0.5][i] };
+    let of = |i: usize| Tenant { rate_limit_per_s: [3.0, 50.0, 1000.0][i], share: [0.25, 0.25, 0.5][i] };
     settings.tenants = tenants.iter().map(|i| of(*i)).collect();
-    settings.over_share_worth = 0.5;
+    settings.over_share_value = 0.5;
     settings
 }
 
@@ -40,7 +40,7 @@
     seed: u64,
     steps: &[Step],
 ) -> Vec<Action> {
-    let mut world = World::seeded(varied(classes, tenants, base.clone()), seed);
+    let mut world = Harness::seeded(varied(classes, tenants, base.clone()), seed);
     world.list(ListKind::Full, (0..5).map(entry).collect());
     let place = |order: &[usize], what: usize| order.iter().position(|i| *i == what).expect("one of them");
     let (mut by_class, mut by_tenant) = (classes, tenants);
@@ -51,7 +51,7 @@
             let settings = varied(then_classes, then_tenants, base.clone());
             let (classes, tenants) = (moved(by_class, then_classes), moved(by_tenant, then_tenants));
             world.settings = settings.clone();
-            world.tell(Event::Settings { settings: Box::new(settings), classes, tenants });
+            world.tell(Event::Settings { settings: Box::new(settings), previous_classes: classes, previous_tenants: tenants });
             (by_class, by_tenant) = (then_classes, then_tenants);
         }
         let (class, tenant) = (place(by_class, *class), place(by_tenant, *tenant));
@@ -78,7 +78,7 @@
         steps in prop::collection::vec((0usize..5, 0usize..3, 100u64..5_000, 0usize..6, 1u64..300), 10..120),
     ) {
         let mut base = settings();
-        base.limits.parallel_attempts = hedged;
+        base.limits.hedging = hedged;
         base.limits.max_attempts = attempts;
         let order: [&[usize]; 2] = [&[0, 1, 2, 3, 4], &[0, 1, 2]];
         let plain = play((order[0], order[1]), (order[0], order[1]), base.clone(), seed, &steps);
--- a/tests/troubles.rs
+++ b/tests/combined_faults.rs
@@ -1,10 +1,10 @@
-//! Troubles in combination and troubles on no list. `World` checks the four rules on the side; here it is
+//! Troubles in combination and troubles on no list. `Harness` checks the four rules on the side; here it is
 //! checked that service goes on, that further attempts stay within their budget, and that no jam lasts.
 
-mod world;
+mod harness;
 
 use hillpick::*;
-use world::*;
+use harness::*;
 
 /// What came of a stretch of requests.
 #[derive(Debug, Default)]
@@ -16,7 +16,7 @@
 
 /// Plays requests of all classes, one every 30 ms; `ends` says how an attempt at a server ends within that
 /// time, `None` that it stays out. Further attempts are counted against their budget at the end.
-fn play(world: &mut World, requests: usize, ends: impl Fn(u64) -> Option<Outcome>) -> Tally {
+fn play(world: &mut Harness, requests: usize, ends: impl Fn(u64) -> Option<Outcome>) -> Tally {
     let mut tally = Tally::default();
     let before = world.log.len();
     for i in 0..requests {
@@ -40,16 +40,16 @@
 }
 
 /// Both ways of reporting, and a node that has had the time to learn that all is well.
-fn worlds(servers: u64) -> [World; 2] {
-    [answering(), probing()].map(|settings| {
-        let mut world = World::with_servers(settings, servers);
+fn worlds(servers: u64) -> [Harness; 2] {
+    [piggyback_settings(), probe_settings()].map(|settings| {
+        let mut world = Harness::with_servers(settings, servers);
         recovers(&mut world);
         world
     })
 }
 
 /// All is well again: after some requests to find that out, nearly all are served.
-fn recovers(world: &mut World) {
+fn recovers(world: &mut Harness) {
     play(world, 300, |_| Some(Outcome::Served));
     let tally = play(world, 200, |_| Some(Outcome::Served));
     assert!(tally.served >= 196, "a jam that lasts: {tally:?}");
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_list_that_never_comes_while_requests_flood_in_is_asked_for_with_growing_waits() {
-    let mut world = World::new(Settings { list_on_request: true, ..probing() });
+    let mut world = Harness::new(Settings { list_on_request: true, ..probe_settings() });
     let mut subscribed = 0;
     for _ in 0..40 {
         let tally = play(&mut world, 20, |_| Some(Outcome::Served));
@@ -164,6 +164,6 @@
 #[test]
 fn a_node_that_never_sees_its_servers_less_than_busy_learns_that_they_serve() {
     // Crowding levels start closed: while no server was ever seen below a closed level, all was refused for ever.
-    let mut world = World::with_servers(probing(), 4);
+    let mut world = Harness::with_servers(probe_settings(), 4);
     recovers(&mut world);
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,12 +1,12 @@
 //! Small tests of single decisions: the pick, each class of repeats, health, cold starts, the list.
-//! `World` checks the four rules on the side.
+//! `Harness` checks the four rules on the side.
 
-mod world;
+mod harness;
 
 use hillpick::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use world::*;
+use harness::*;
 
 fn sent_to(actions: &[Action]) -> Vec<u64> {
     let send = |action: &Action| match action {
@@ -29,7 +29,7 @@
 }
 
 /// Sends a request and has it served at once, with a report of that many requests in flight.
-fn serve(world: &mut World, load: f32) -> u64 {
+fn serve(world: &mut Harness, load: f32) -> u64 {
     let (id, actions) = world.request(0);
     let to = sent_to(&actions);
     assert_eq!(to.len(), 1, "a free fleet takes a request at once: {actions:?}");
@@ -43,7 +43,7 @@
 #[test]
 fn every_server_gets_one_before_any_gets_two() {
     for seed in 0..20 {
-        let mut world = World::seeded(answering(), seed);
+        let mut world = Harness::seeded(piggyback_settings(), seed);
         world.list(ListKind::Full, (0..5).map(entry).collect());
         let mut met: Vec<u64> = (0..5).flat_map(|_| sent_to(&world.request(0).1)).collect();
         met.sort();
@@ -54,7 +54,7 @@
 #[test]
 fn ties_are_broken_at_random() {
     let first: BTreeMap<u64, u32> = (0..200).fold(BTreeMap::new(), |mut seen, seed| {
-        let mut world = World::seeded(answering(), seed);
+        let mut world = Harness::seeded(piggyback_settings(), seed);
         world.list(ListKind::Full, (0..4).map(entry).collect());
         *seen.entry(sent_to(&world.request(0).1)[0]).or_default() += 1;
         seen
@@ -64,7 +64,7 @@
 
 #[test]
 fn an_idle_sign_brings_a_server_back_and_a_busy_report_does_not() {
-    let mut world = World::with_servers(answering(), 6);
+    let mut world = Harness::with_servers(piggyback_settings(), 6);
     for _ in 0..300 {
         serve(&mut world, 1.0);
     }
@@ -82,7 +82,7 @@
     // Also with a report of nothing in flight: a server that returns quick errors looks idle.
     let cases = failures.iter().flat_map(|outcome| [(*outcome, None), (*outcome, Some(0.0))]);
     for ((outcome, report), seed) in cases.flat_map(|case| (0..20).map(move |seed| (case, seed))) {
-        let mut world = World::seeded(answering(), seed);
+        let mut world = Harness::seeded(piggyback_settings(), seed);
         world.list(ListKind::Full, (0..2).map(entry).collect());
         let (id, actions) = world.request(1);
         let first = sent_to(&actions);
@@ -99,7 +99,7 @@
 #[test]
 fn at_the_cap_everywhere_the_pick_is_random_among_those_not_crowded() {
     let mut met = BTreeMap::new();
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = Harness::with_servers(piggyback_settings(), 4);
     for _ in 0..200 {
         *met.entry(serve(&mut world, 3.0)).or_insert(0) += 1;
     }
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_late_idle_report_does_not_forget_own_attempts_that_are_out() {
-    let mut world = World::with_servers(answering(), 2);
+    let mut world = Harness::with_servers(piggyback_settings(), 2);
     let (held, actions) = world.request(0);
     let busy = sent_to(&actions)[0];
     let (other, _) = world.request(0);
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_request_waits_for_its_probes_and_goes_to_the_idle_server() {
-    let mut world = World::with_servers(probing(), 4);
+    let mut world = Harness::with_servers(probe_settings(), 4);
     let (id, actions) = world.request(0);
     assert!(probed(&actions) > 0 && sent_to(&actions).is_empty(), "{actions:?}");
     world.pass(ms(1));
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_probe_that_is_not_answered_holds_a_request_only_for_a_moment() {
-    let mut world = World::with_servers(probing(), 4);
+    let mut world = Harness::with_servers(probe_settings(), 4);
     let (id, _) = world.request(0);
     world.pass(ms(40));
     assert_eq!(world.out(), [(id, 0)]);
@@ -146,9 +146,9 @@
 
 #[test]
 fn own_traffic_pays_for_probes() {
-    let mut settings = probing();
+    let mut settings = probe_settings();
     settings.prices.probe = 0.05; // a hundredth of the service buys one probe in five requests
-    let mut world = World::with_servers(settings, 8);
+    let mut world = Harness::with_servers(settings, 8);
     let probes: usize = (0..100)
         .map(|_| {
             let before = world.log.len();
@@ -168,7 +168,7 @@
 #[test]
 fn servers_known_to_be_full_are_not_traded_for_unknown_ones() {
     // Those known to be full were set aside and the blind sends hit full ones.
-    let mut world = World::with_servers(probing(), 3);
+    let mut world = Harness::with_servers(probe_settings(), 3);
     for _ in 0..60 {
         world.request(0);
         for _ in 0..4 {
@@ -191,7 +191,7 @@
 
 #[test]
 fn a_safe_request_is_sent_again_elsewhere() {
-    let mut world = World::with_servers(answering(), 3);
+    let mut world = Harness::with_servers(piggyback_settings(), 3);
     let (id, actions) = world.request(0);
     let again = world.end(id, 0, Outcome::Error, None);
     assert_eq!(sent_to(&again).len(), 1);
@@ -208,7 +208,7 @@
         (Outcome::Reset, false),
         (Outcome::TimedOut, false),
     ] {
-        let mut world = World::with_servers(answering(), 3);
+        let mut world = Harness::with_servers(piggyback_settings(), 3);
         let (id, _) = world.request(1);
         let actions = world.end(id, 0, outcome, None);
         assert_eq!(sent_to(&actions).len(), usize::from(again), "{outcome:?}");
@@ -220,7 +220,7 @@
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_group_and_window() {
     for class in [2, 3] {
-        let mut world = World::with_servers(answering(), 9);
+        let mut world = Harness::with_servers(piggyback_settings(), 9);
         let (id, actions) = world.request(class);
         let first = sent_to(&actions)[0];
         let again = sent_to(&world.end(id, 0, Outcome::Reset, None));
@@ -235,14 +235,14 @@
 
 #[test]
 fn a_keyed_request_of_all_servers_may_be_refused_after_it_ran() {
-    let mut world = World::with_servers(answering(), 1);
+    let mut world = Harness::with_servers(piggyback_settings(), 1);
     let (id, _) = world.request(4);
     assert!(refused(&world.end(id, 0, Outcome::Error, None)));
 }
 
 #[test]
 fn what_cannot_be_in_time_is_given_up_at_its_aim() {
-    let mut world = World::with_servers(answering(), 2);
+    let mut world = Harness::with_servers(piggyback_settings(), 2);
     let (id, _) = world.request(1);
     world.pass(ms(401));
     assert!(world.answered(id));
@@ -251,7 +251,7 @@
 
 #[test]
 fn a_request_with_nobody_to_send_to_is_refused_in_time() {
-    let mut world = World::new(answering());
+    let mut world = Harness::new(piggyback_settings());
     let (id, _) = world.request(1);
     world.pass(ms(401));
     assert!(world.log.iter().any(|a| matches!(a, Action::Refuse { id: it, .. } if *it == id)));
@@ -259,7 +259,7 @@
 
 #[test]
 fn a_request_held_for_want_of_servers_goes_out_when_one_is_listed() {
-    let mut world = World::new(answering());
+    let mut world = Harness::new(piggyback_settings());
     let (id, _) = world.request(1);
     world.pass(ms(50));
     world.list(ListKind::Changes, vec![entry(1)]);
@@ -269,7 +269,7 @@
 
 #[test]
 fn late_events_have_no_effect() {
-    let mut world = World::with_servers(answering(), 2);
+    let mut world = Harness::with_servers(piggyback_settings(), 2);
     let (id, _) = world.request(1);
     world.client_leaves(id);
     assert!(world.tell(Event::ClientGone { id }).is_empty());
@@ -278,7 +278,7 @@
     assert!(world.tell(Event::Timer { token: id.0 }).is_empty());
     let server = ServerId(77);
     let end = ProbeEnd { server, outcome: Outcome::Served, elapsed: ms(1), report: None };
-    assert!(world.tell(Event::Probed(end)).is_empty());
+    assert!(world.tell(Event::ProbeEnded(end)).is_empty());
     let ended = AttemptEnd {
         id,
         attempt: 0,
@@ -287,15 +287,15 @@
         elapsed: ms(1),
         finished: true,
         report: None,
-        spent: false,
+        body_consumed: false,
     };
     assert!(world.tell(Event::AttemptEnded(ended)).is_empty());
-    assert!(world.tell(Event::Started { id, attempt: 0, server }).is_empty());
+    assert!(world.tell(Event::AnswerStarted { id, attempt: 0, server }).is_empty());
 }
 
 #[test]
 fn further_attempts_stay_within_their_budget() {
-    let mut world = World::with_servers(answering(), 9);
+    let mut world = Harness::with_servers(piggyback_settings(), 9);
     for _ in 0..500 {
         world.request(0);
         world.pass(ms(5));
@@ -310,7 +310,7 @@
 // ---- Health -----------------------------------------------------------------------------------
 
 /// Plays requests of 30 ms for a while; `ends` says how an attempt at a server ends.
-fn play(world: &mut World, count: usize, ends: impl Fn(u64) -> Outcome) -> BTreeMap<u64, usize> {
+fn play(world: &mut Harness, count: usize, ends: impl Fn(u64) -> Outcome) -> BTreeMap<u64, usize> {
     let mut met = BTreeMap::new();
     for _ in 0..count {
         world.request(1);
@@ -326,14 +326,14 @@
 
 #[test]
 fn a_server_that_answers_fast_with_errors_wins_nothing() {
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = Harness::with_servers(piggyback_settings(), 4);
     let met = play(&mut world, 400, |server| if server == 0 { Outcome::Error } else { Outcome::Served });
     assert!(met[&0] < 20, "{met:?}");
 }
 
 #[test]
 fn a_server_whose_connections_are_cut_now_and_then_keeps_its_part() {
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = Harness::with_servers(piggyback_settings(), 4);
     let mut met = 0;
     for _ in 0..100 {
         // As many at once as there are servers: the others are no lower.
@@ -351,11 +351,11 @@
 
 #[test]
 fn a_server_whose_probes_are_cut_now_and_then_keeps_its_part() {
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = Harness::with_servers(piggyback_settings(), 4);
     let mut met = 0;
     for _ in 0..40 {
         let (server, outcome) = (ServerId(0), Outcome::Reset);
-        world.tell(Event::Probed(ProbeEnd { server, outcome, elapsed: ms(1), report: None }));
+        world.tell(Event::ProbeEnded(ProbeEnd { server, outcome, elapsed: ms(1), report: None }));
         met += play(&mut world, 10, |_| Outcome::Served).get(&0).copied().unwrap_or_default();
     }
     assert!(met > 60, "{met}");
@@ -363,7 +363,7 @@
 
 /// Plays requests of two classes at free servers that are probed, two of which may end all of class 1 like
 /// this. Counts what these missed and served, and the requests that were refused.
-fn play_classes(world: &mut World, rounds: usize, broken: Option<Outcome>) -> (usize, usize, usize) {
+fn play_classes(world: &mut Harness, rounds: usize, broken: Option<Outcome>) -> (usize, usize, usize) {
     let (mut missed, mut served, before) = (0, 0, world.log.len());
     for round in 0..rounds {
         let class = usize::from(round % 4 == 0);
@@ -390,7 +390,7 @@
 #[test]
 fn a_server_broken_for_one_class_is_left_out_for_that_class_alone() {
     for ends in [Outcome::Rejected, Outcome::Error, Outcome::TimedOut] {
-        let mut world = World::with_servers(probing(), 4);
+        let mut world = Harness::with_servers(probe_settings(), 4);
         play_classes(&mut world, 200, None);
         play_classes(&mut world, 200, Some(ends));
         // 250 requests of that class, half of which would go there.
@@ -405,7 +405,7 @@
 
 #[test]
 fn an_ejected_server_comes_back_by_trial() {
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = Harness::with_servers(piggyback_settings(), 4);
     play(&mut world, 100, |server| if server == 0 { Outcome::ConnectFailed } else { Outcome::Served });
     world.pass(ms(20_000));
     let met = play(&mut world, 100, |_| Outcome::Served);
@@ -414,7 +414,7 @@
 
 #[test]
 fn failures_of_all_servers_do_not_eject_the_fleet() {
-    let mut world = World::with_servers(answering(), 6);
+    let mut world = Harness::with_servers(piggyback_settings(), 6);
     play(&mut world, 200, |_| Outcome::Error);
     // Errors reset no estimate, so whoever serves first is the lowest: only requests at once meet more.
     for _ in 0..10 {
@@ -431,7 +431,7 @@
 
 #[test]
 fn a_server_that_accepts_and_never_answers_is_left_alone() {
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = Harness::with_servers(piggyback_settings(), 4);
     let mut met = BTreeMap::new();
     for _ in 0..200 {
         world.request(1);
@@ -452,7 +452,7 @@
 
 #[test]
 fn a_full_list_takes_away_what_it_omits_and_servers_may_return() {
-    let mut world = World::with_servers(answering(), 3);
+    let mut world = Harness::with_servers(piggyback_settings(), 3);
     world.list(ListKind::Full, vec![entry(1)]);
     assert!((0..10).all(|_| sent_to(&world.request(0).1).iter().all(|s| *s == 1)));
     world.list(ListKind::Changes, vec![entry(2), ServerEntry { state: ServerState::Draining, ..entry(1) }]);
@@ -461,15 +461,15 @@
 
 /// Ten warm servers carry 33 requests a second of one of three nodes, and another starts: when that was sent requests.
 fn sent_to_a_cold_one(overload_factor: f64) -> Vec<Duration> {
-    let mut settings = answering();
+    let mut settings = piggyback_settings();
     settings.rules = Rules {
-        cold_share: 0.2,
-        warm_after: ms(10_000),
+        cold_capacity: 0.2,
+        warm_up_time: ms(10_000),
         overload_factor,
         overload_time: ms(1500),
         ..settings.rules
     };
-    let mut world = World::with_servers(settings, 10);
+    let mut world = Harness::with_servers(settings, 10);
     let mut cold = Vec::new();
     for step in 0..1500u64 {
         if step == 700 {
@@ -508,9 +508,9 @@
 
 #[test]
 fn all_servers_cold_at_once_still_serve() {
-    let mut settings = answering();
-    settings.rules = Rules { cold_share: 0.3, warm_after: ms(10_000), ..settings.rules };
-    let mut world = World::with_servers(settings, 5);
+    let mut settings = piggyback_settings();
+    settings.rules = Rules { cold_capacity: 0.3, warm_up_time: ms(10_000), ..settings.rules };
+    let mut world = Harness::with_servers(settings, 5);
     play(&mut world, 300, |_| Outcome::Served);
     let started = Some(world.now);
     world.list(ListKind::Full, (0..5).map(|n| ServerEntry { started, ..entry(n) }).collect());
@@ -522,7 +522,7 @@
 fn where_the_list_must_be_asked_for_it_is_asked_for_and_a_failed_call_is_repeated() {
     let asks =
         |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Subscribe { on: true })).count();
-    let mut world = World::new(Settings { list_on_request: true, ..answering() });
+    let mut world = Harness::new(Settings { list_on_request: true, ..piggyback_settings() });
     world.list(ListKind::Cached, vec![entry(0)]);
     world.pass(ms(3000));
     assert_eq!(asks(&world.log), 1);
@@ -546,8 +546,8 @@
     let asks =
         |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Subscribe { on: true })).count();
     for within in [600_000, 60_000, 10_000, 1_000, 0] {
-        let rules = Rules { ask_within: ms(within), ..answering().rules };
-        let mut world = World::new(Settings { list_on_request: true, rules, ..answering() });
+        let rules = Rules { list_refresh_interval: ms(within), ..piggyback_settings().rules };
+        let mut world = Harness::new(Settings { list_on_request: true, rules, ..piggyback_settings() });
         world.list(ListKind::Cached, vec![entry(0)]);
         world.pass(ms(1_700));
         assert!(asks(&world.log) >= 1, "{within}: the first call");
@@ -562,10 +562,10 @@
 
 #[test]
 fn a_tenant_beyond_its_share_is_refused_first() {
-    let mut settings = answering();
-    settings.tenants = vec![Tenant { allowance_per_s: 30.0, share: 0.5 }; 2];
-    settings.over_share_worth = 0.1;
-    let mut world = World::with_servers(settings, 2);
+    let mut settings = piggyback_settings();
+    settings.tenants = vec![Tenant { rate_limit_per_s: 30.0, share: 0.5 }; 2];
+    settings.over_share_value = 0.1;
+    let mut world = Harness::with_servers(settings, 2);
     // Tenant 0 floods, tenant 1 keeps to its share; nothing crowded comes back in time.
     let mut refusals = [0, 0];
     for step in 0..2000 {
@@ -585,7 +585,7 @@
 #[test]
 fn a_node_that_starts_into_an_overload_fills_nobody_up() {
     // The danger: dozens of requests of one node at a server before its first time-out is seen.
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = Harness::with_servers(piggyback_settings(), 4);
     for _ in 0..300 {
         world.request(1);
         world.pass(ms(1));
@@ -597,7 +597,7 @@
 fn answers_with_nothing_to_spare_close_a_crowding_level() {
     // The danger: servers choke while nearly all answers are still in time.
     let fill = |answer: u64| {
-        let mut world = World::with_servers(answering(), 4);
+        let mut world = Harness::with_servers(piggyback_settings(), 4);
         let mut most = 0;
         for _ in 0..2000 {
             world.request(1);
@@ -617,15 +617,15 @@
 
 #[test]
 fn odd_settings_lead_to_legal_and_sensible_actions() {
-    let one_node = Settings { nodes: 1, ..probing() };
-    let free_probes = Settings { prices: Prices::default(), ..probing() };
-    let mut blind = probing();
+    let one_node = Settings { nodes: 1, ..probe_settings() };
+    let free_probes = Settings { prices: Prices::default(), ..probe_settings() };
+    let mut blind = probe_settings();
     blind.limits.probes = false;
     let silent = settings();
-    let mut never_cold = answering();
-    never_cold.rules = Rules { cold_share: 1.0, warm_after: ms(0), ..never_cold.rules };
+    let mut never_cold = piggyback_settings();
+    never_cold.rules = Rules { cold_capacity: 1.0, warm_up_time: ms(0), ..never_cold.rules };
     for settings in [one_node, free_probes, blind, silent, never_cold] {
-        let mut world = World::new(settings);
+        let mut world = Harness::new(settings);
         let started = Some(world.now);
         world.list(ListKind::Full, (0..4).map(|n| ServerEntry { started, ..entry(n) }).collect());
         let mut served = 0;
@@ -645,7 +645,7 @@
 
 #[test]
 fn a_server_with_reports_frozen_at_idle_does_not_win_it_all() {
-    let mut world = World::with_servers(probing(), 4);
+    let mut world = Harness::with_servers(probe_settings(), 4);
     let mut met = BTreeMap::new();
     for step in 0..400 {
         world.request(1);
@@ -666,7 +666,7 @@
 
 #[test]
 fn a_long_pause_of_the_node_itself_is_not_held_against_the_servers() {
-    let mut world = World::with_servers(answering(), 6);
+    let mut world = Harness::with_servers(piggyback_settings(), 6);
     play(&mut world, 100, |_| Outcome::Served);
     let ids: Vec<_> = (0..30).map(|_| world.request(1).0).collect();
     // The node stands still long past every aim, then finds all its time-outs at once.
@@ -684,8 +684,8 @@
 #[test]
 fn a_repeat_whose_aim_has_passed_is_refused_and_costs_no_server_anything() {
     // The danger: clients that gave up come again, and work for answers worth nothing keeps a jam alive.
-    let mut world = World::with_servers(answering(), 4);
-    let repeat = |world: &mut World, left: u64| {
+    let mut world = Harness::with_servers(piggyback_settings(), 4);
+    let repeat = |world: &mut Harness, left: u64| {
         let mut new = NewRequest {
             id: RequestId(1_000_000 + left),
             class: 0,
@@ -708,7 +708,7 @@
 #[test]
 fn trials_of_ejected_servers_take_a_small_part_of_the_requests() {
     // The danger: a quiet node with several dead servers sends most of its requests there on trial.
-    let mut world = World::with_servers(answering(), 8);
+    let mut world = Harness::with_servers(piggyback_settings(), 8);
     let dead = |server: u64| if server < 3 { Outcome::ConnectFailed } else { Outcome::Served };
     play(&mut world, 100, dead);
     let met = play(&mut world, 400, dead);
@@ -719,9 +719,9 @@
 #[test]
 fn in_a_jam_the_worth_more_is_taken_first() {
     // The danger: a share of all alike is refused, and with it most of the worth.
-    let mut settings = answering();
-    settings.classes[1].worth = 10.0;
-    let mut world = World::with_servers(settings, 4);
+    let mut settings = piggyback_settings();
+    settings.classes[1].value = 10.0;
+    let mut world = Harness::with_servers(settings, 4);
     let mut sent = [0, 0];
     for step in 0..600 {
         let class = step % 2;
@@ -740,9 +740,9 @@
     // The danger: an answer that never comes takes the request's whole time.
     for (class, further) in [(0, true), (1, false), (4, true)] {
         for parallel in [false, true] {
-            let mut settings = answering();
-            settings.limits.parallel_attempts = parallel;
-            let mut world = World::with_servers(settings, 6);
+            let mut settings = piggyback_settings();
+            settings.limits.hedging = parallel;
+            let mut world = Harness::with_servers(settings, 6);
             play(&mut world, 100, |_| Outcome::Served); // answers take 30 ms
             let (id, _) = world.request(class);
             world.pass(ms(200));
@@ -754,7 +754,7 @@
 }
 
 /// Of so many requests of a class, how many attempts were given up, where each takes so long.
-fn given_up(world: &mut World, class: usize, count: u64, takes: impl Fn(u64) -> u64) -> usize {
+fn given_up(world: &mut Harness, class: usize, count: u64, takes: impl Fn(u64) -> u64) -> usize {
     let mut sent = 0;
     for _ in 0..count {
         let (id, _) = world.request(class);
@@ -772,19 +772,19 @@
     sent - count as usize
 }
 
-fn one_at_a_time() -> World {
-    let mut settings = answering();
-    settings.limits.parallel_attempts = false;
-    World::with_servers(settings, 6)
+fn one_at_a_time() -> Harness {
+    let mut settings = piggyback_settings();
+    settings.limits.hedging = false;
+    Harness::with_servers(settings, 6)
 }
 
 /// The danger: an attempt makes room for another one that may not be made.
 #[test]
 fn the_last_attempt_that_is_allowed_has_all_the_time_that_is_left() {
     for attempts in [1, 2, 3] {
-        let mut settings = answering();
-        (settings.limits.max_attempts, settings.limits.parallel_attempts) = (attempts, false);
-        let mut world = World::with_servers(settings, 6);
+        let mut settings = piggyback_settings();
+        (settings.limits.max_attempts, settings.limits.hedging) = (attempts, false);
+        let mut world = Harness::with_servers(settings, 6);
         given_up(&mut world, 0, 300, |_| 10); // what is given up early has to be paid for by answers
         let (id, _) = world.request(0);
         world.pass(ms(390));
@@ -812,7 +812,7 @@
 #[test]
 fn a_class_is_waited_for_by_its_own_answers() {
     let mut world = one_at_a_time();
-    let mixed = |world: &mut World| {
+    let mixed = |world: &mut Harness| {
         given_up(world, 0, 9, |_| 10);
         given_up(world, 4, 1, |_| 90)
     };
@@ -824,7 +824,7 @@
 #[test]
 fn a_new_server_is_not_joined_by_everybody_at_once() {
     // The danger: it stands at zero at all nodes, and each sends it the next requests.
-    let mut world = World::with_servers(answering(), 5);
+    let mut world = Harness::with_servers(piggyback_settings(), 5);
     for _ in 0..60 {
         serve(&mut world, 1.0);
     }
@@ -839,9 +839,9 @@
 #[test]
 fn who_is_not_taken_by_a_free_server_does_not_join_a_crowded_one() {
     // The danger: in a jam the free servers are closed by chance and the crowded ones, known to serve, stay open.
-    let mut settings = answering();
+    let mut settings = piggyback_settings();
     settings.limits.max_attempts = 1;
-    let mut world = World::with_servers(settings, 2);
+    let mut world = Harness::with_servers(settings, 2);
     for _ in 0..40 {
         let ids = [world.request(1).0, world.request(1).0, world.request(1).0];
         world.pass(ms(20));
@@ -868,11 +868,11 @@
 #[test]
 fn where_connections_have_a_price_a_node_keeps_to_a_few_servers_and_all_get_their_share() {
     // The danger: each node connects to each server, and most connects fail.
-    let mut settings = answering();
+    let mut settings = piggyback_settings();
     (settings.nodes, settings.prices.connections) = (40, 0.1);
     let mut nodes_of = BTreeMap::new();
     for node in 0..40 {
-        let mut world = World::seeded(Settings { node, ..settings.clone() }, node.into());
+        let mut world = Harness::seeded(Settings { node, ..settings.clone() }, node.into());
         world.list(ListKind::Full, (0..20).map(entry).collect());
         let met: std::collections::BTreeSet<u64> = (0..100).map(|_| serve(&mut world, 1.0)).collect();
         assert!((2..=5).contains(&met.len()), "{met:?}");
@@ -886,7 +886,7 @@
 fn a_quiet_node_uses_only_as_many_servers_as_it_can_keep_in_view() {
     // The danger: among dozens of servers a quiet node meets each so seldom that it never learns who is slow.
     let met = |pause: u64| {
-        let mut world = World::with_servers(answering(), 40);
+        let mut world = Harness::with_servers(piggyback_settings(), 40);
         let mut met = std::collections::BTreeSet::new();
         for step in 0..200 {
             let to = serve(&mut world, 1.0);
@@ -904,8 +904,8 @@
 #[test]
 fn when_even_idle_looking_servers_are_late_a_node_holds_back_and_then_recovers() {
     // Hundreds of nodes may choke the servers with one request each: none of them looks crowded to its node.
-    let mut world = World::with_servers(answering(), 4);
-    let sent = |world: &mut World, takes: u64| {
+    let mut world = Harness::with_servers(piggyback_settings(), 4);
+    let sent = |world: &mut Harness, takes: u64| {
         let mut sent = 0;
         for _ in 0..200 {
             let (id, actions) = world.request(1);
@@ -927,7 +927,7 @@
 #[test]
 fn where_every_other_answer_has_little_to_spare_most_requests_are_sent_all_the_same() {
     // The danger: requests that would have been answered are refused because others had little time to spare.
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = Harness::with_servers(piggyback_settings(), 4);
     let mut sent = 0;
     for step in 0..400 {
         let (id, actions) = world.request(1);
@@ -943,7 +943,7 @@
 #[test]
 fn the_work_for_a_request_does_not_grow_with_the_fleet() {
     // The danger: hundreds of servers, each looked at several times for each event, take all the CPU.
-    let mut world = World::with_servers(answering(), 500);
+    let mut world = Harness::with_servers(piggyback_settings(), 500);
     let met: std::collections::BTreeSet<u64> = (0..2000).map(|_| serve(&mut world, 1.0)).collect();
     assert!((32..=64).contains(&met.len()), "{}", met.len());
 }
@@ -951,7 +951,7 @@
 #[test]
 fn what_is_hopeless_by_its_hint_is_refused_at_once() {
     // The danger: in a busy fleet, heavy requests that can't be in time take the work of many light ones.
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = Harness::with_servers(piggyback_settings(), 4);
     for _ in 0..60 {
         serve(&mut world, 3.0); // nobody is idle
     }
@@ -970,7 +970,7 @@
 #[test]
 fn servers_that_cannot_be_reached_are_left_alone_however_many_they_are() {
     // The danger: half of the servers stay in use whatever happens, though this node reaches only a few.
-    let mut world = World::with_servers(answering(), 10);
+    let mut world = Harness::with_servers(piggyback_settings(), 10);
     let reach = |server: u64| if server < 2 { Outcome::Served } else { Outcome::ConnectFailed };
     play(&mut world, 200, reach);
     let met = play(&mut world, 200, reach);
@@ -982,10 +982,10 @@
 
 #[test]
 fn an_open_request_keeps_the_rules_that_it_came_under() {
-    let mut world = World::with_servers(settings(), 6);
+    let mut world = Harness::with_servers(settings(), 6);
     let ((safe, _), (once, _)) = (world.request(0), world.request(1));
     // The classes change places, one is new, and there is one attempt from now on.
-    world.resettle(&[None, Some(1), Some(0)], class(Repeat::Unsafe), 1);
+    world.resettle(&[None, Some(1), Some(0)], class(RetrySafety::NonIdempotent), 1);
     assert_eq!(sent_to(&world.end(safe, 0, Outcome::Error, None)).len(), 1, "safe, and with attempts left");
     assert!(failed(&world.end(once, 0, Outcome::Error, None)), "once it may have run it is not sent again");
     let ((new, _), (safe, _)) = (world.request(0), world.request(2));
@@ -995,16 +995,16 @@
 
 #[test]
 fn a_request_of_a_dropped_class_goes_by_the_rules_that_it_brings() {
-    let mut world = World::with_servers(settings(), 6);
+    let mut world = Harness::with_servers(settings(), 6);
     let max_attempts = world.settings.limits.max_attempts;
-    let terms = Terms { class: class(Repeat::Unsafe), max_attempts };
+    let terms = RequestPolicy { class: class(RetrySafety::NonIdempotent), max_attempts };
     let (open, _) = world.request(1);
-    world.resettle(&[Some(0)], class(Repeat::Safe), 1);
+    world.resettle(&[Some(0)], class(RetrySafety::Idempotent), 1);
     assert!(failed(&world.end(open, 0, Outcome::Error, None)));
     let new = NewRequest {
         id: RequestId(1000),
         class: usize::MAX,
-        terms: Some(terms),
+        policy: Some(terms),
         remaining: ms(1000),
         ..NewRequest::default()
     };
@@ -1014,12 +1014,12 @@
 
 #[test]
 fn what_is_known_of_a_class_moves_along_with_it() {
-    let mut world = World::with_servers(probing(), 4);
+    let mut world = Harness::with_servers(probe_settings(), 4);
     play_classes(&mut world, 200, None);
     play_classes(&mut world, 400, Some(Outcome::Rejected));
     // How many of 40 requests go to servers 0 and 1, which are broken for class 1 and for no other.
-    let sick = |world: &mut World, class: usize| {
-        let one = |world: &mut World| {
+    let sick = |world: &mut Harness, class: usize| {
+        let one = |world: &mut Harness| {
             let (id, _) = world.request(class);
             world.pass(ms(1));
             world.answer_probes(&[0, 1, 2, 3]);
@@ -1030,7 +1030,7 @@
         };
         (0..40).filter(|_| one(world) < 2).count()
     };
-    world.resettle(&[Some(1), None, Some(0)], class(Repeat::Safe), 3);
+    world.resettle(&[Some(1), None, Some(0)], class(RetrySafety::Idempotent), 3);
     let (broken, new, sound) = (sick(&mut world, 0), sick(&mut world, 1), sick(&mut world, 2));
     assert!(broken < 5, "{broken} of the class that stood at 1");
     assert!(new > 10 && sound > 10, "{new} of the class that stands there now, {sound} of the one before it");
@@ -1039,24 +1039,24 @@
 // ---- Long bodies --------------------------------------------------------------------------------
 
 /// Lets the node take a request whose body is too long to be kept and still comes.
-fn arriving(world: &mut World, class: usize) -> (RequestId, Vec<Action>) {
+fn arriving(world: &mut Harness, class: usize) -> (RequestId, Vec<Action>) {
     let id = RequestId(5000 + world.log.len() as u64);
-    let new = NewRequest { id, class, remaining: ms(900), arriving: true, ..NewRequest::default() };
+    let new = NewRequest { id, class, remaining: ms(900), body_streaming: true, ..NewRequest::default() };
     (id, world.take(new))
 }
 
 #[test]
 fn the_time_of_a_long_request_begins_with_its_last_byte() {
     let mut settings = settings();
-    settings.classes[0].aim = ms(400);
-    let mut world = World::with_servers(settings, 4);
+    settings.classes[0].latency_target = ms(400);
+    let mut world = Harness::with_servers(settings, 4);
     let (id, actions) = arriving(&mut world, 0);
     assert_eq!(sent_to(&actions).len(), 1);
     // The world ends attempts when their time-out is over, and calls for an answer by the deadline of a try.
     world.forgive(id, ms(60_000));
     world.pass(ms(30_000));
     assert!(!world.answered(id) && world.out() == [(id, 0)], "nothing of its is overdue, and it has no copy");
-    world.tell(Event::Arrived { id });
+    world.tell(Event::BodyReceived { id });
     world.pass(ms(350));
     assert!(!world.answered(id));
     world.pass(ms(100));
@@ -1065,14 +1065,14 @@
 
 #[test]
 fn a_long_request_is_sent_again_until_its_body_is_used_up() {
-    let mut world = World::with_servers(settings(), 4);
+    let mut world = Harness::with_servers(settings(), 4);
     let (id, actions) = arriving(&mut world, 1);
     assert_eq!(sent_to(&actions).len(), 1);
     let again = world.end(id, 0, Outcome::ConnectFailed, None);
     assert_eq!(sent_to(&again).len(), 1, "{again:?}");
     for (outcome, harmless) in [(Outcome::NotSent, true), (Outcome::Rejected, true), (Outcome::Reset, false)]
     {
-        let mut world = World::with_servers(settings(), 4);
+        let mut world = Harness::with_servers(settings(), 4);
         let (id, _) = arriving(&mut world, 1);
         let end = world.end_with(id, 0, outcome, None, true);
         assert_eq!(
@@ -1085,7 +1085,7 @@
 
 #[test]
 fn a_long_request_waits_no_longer_for_a_server_than_another() {
-    let mut world = World::new(settings());
+    let mut world = Harness::new(settings());
     let (id, actions) = arriving(&mut world, 0);
     assert!(sent_to(&actions).is_empty());
     world.pass(ms(399));
@@ -1096,29 +1096,29 @@
 
 #[test]
 fn what_is_out_beside_an_answer_that_has_started_is_called_off() {
-    let mut world = World::with_servers(settings(), 4);
+    let mut world = Harness::with_servers(settings(), 4);
     play(&mut world, 100, |_| Outcome::Served);
     let (id, _) = world.request(0);
     // A silent attempt is followed by a copy, well within the aim.
     world.pass(ms(399));
     assert_eq!(world.out(), [(id, 0), (id, 1)]);
     let server = world.server_of(id, 1);
-    let actions = world.tell(Event::Started { id, attempt: 1, server });
+    let actions = world.tell(Event::AnswerStarted { id, attempt: 1, server });
     assert_eq!(actions, [Action::Cancel { id, attempt: 0 }]);
 }
 
 #[test]
 fn a_server_does_not_look_crowded_by_what_still_comes_or_has_begun_to_be_answered() {
     // A new node sends no two at once to one server.
-    let mut world = World::with_servers(settings(), 1);
+    let mut world = Harness::with_servers(settings(), 1);
     let (id, actions) = arriving(&mut world, 0);
     assert_eq!(sent_to(&actions), [0]);
     let (other, actions) = world.request(0);
     assert_eq!(sent_to(&actions), [0], "it has nothing to do yet");
     world.end(other, 0, Outcome::Served, None);
-    world.tell(Event::Arrived { id });
+    world.tell(Event::BodyReceived { id });
     assert!(refused(&world.request(0).1), "now it has");
-    assert_eq!(world.tell(Event::Started { id, attempt: 0, server: ServerId(0) }), []);
+    assert_eq!(world.tell(Event::AnswerStarted { id, attempt: 0, server: ServerId(0) }), []);
     let (other, actions) = world.request(0);
     assert_eq!(sent_to(&actions), [0], "its work is done, though not all of the answer is there");
     assert!(refused(&world.request(0).1));
--- a/tests/world/mod.rs
+++ b/tests/harness/mod.rs
@@ -23,38 +23,38 @@
     }
 }
 
-pub fn class(repeat: Repeat) -> Class {
+pub fn class(repeat: RetrySafety) -> Class {
     Class {
-        aim: ms(400),
-        aim_stretch: 0.0,
+        latency_target: ms(400),
+        target_stretch: 0.0,
         deadline: ms(1000),
-        worth: 1.0,
-        late_worth: 0.0,
-        repeat,
+        value: 1.0,
+        late_value: 0.0,
+        retry_safety: repeat,
         streamed: false,
     }
 }
 
 /// Three nodes; class 0 safe, 1 unsafe, 2 keyed in a zone, 3 keyed in a cell, 4 keyed everywhere.
 pub fn settings() -> Settings {
-    let keyed = |scope| Repeat::Keyed { scope, window: ms(300) };
-    let repeats = [Repeat::Safe, Repeat::Unsafe, keyed(Scope::Zone), keyed(Scope::Cell), keyed(Scope::All)];
+    let keyed = |scope| RetrySafety::Keyed { scope, window: ms(300) };
+    let repeats = [RetrySafety::Idempotent, RetrySafety::NonIdempotent, keyed(DedupScope::Zone), keyed(DedupScope::Cell), keyed(DedupScope::All)];
     let mut settings = Settings { nodes: 3, classes: repeats.map(class).to_vec(), ..Settings::default() };
     settings.limits.cancel = true;
-    settings.limits.parallel_attempts = true;
+    settings.limits.hedging = true;
     settings
 }
 
-pub fn probing() -> Settings {
+pub fn probe_settings() -> Settings {
     let mut settings = settings();
-    settings.reports = ReportSource::Probes;
+    settings.report_source = ReportSource::Probes;
     settings.limits.probes = true;
     settings.prices.probe = 0.002;
     settings
 }
 
-pub fn answering() -> Settings {
-    Settings { reports: ReportSource::Answers, ..settings() }
+pub fn piggyback_settings() -> Settings {
+    Settings { report_source: ReportSource::Answers, ..settings() }
 }
 
 struct Try {
@@ -66,7 +66,7 @@
 
 struct Taken {
     /// The rules it came under.
-    repeat: Repeat,
+    repeat: RetrySafety,
     max_attempts: u32,
     deadline: Duration,
     answered: bool,
@@ -74,7 +74,7 @@
 }
 
 /// One node and what surrounds it. Panics when a rule is broken.
-pub struct World {
+pub struct Harness {
     pub now: Duration,
     pub settings: Settings,
     pub balancer: Balancer,
@@ -89,13 +89,13 @@
     next_id: u64,
 }
 
-impl World {
+impl Harness {
     pub fn new(settings: Settings) -> Self {
         Self::seeded(settings, 1)
     }
 
     pub fn seeded(settings: Settings, seed: u64) -> Self {
-        World {
+        Harness {
             now: ms(100_000),
             balancer: Balancer::new(settings.clone(), seed),
             settings,
@@ -111,7 +111,7 @@
 
     /// A world whose node has been told of servers 0, 1, 2 ...
     pub fn with_servers(settings: Settings, count: u64) -> Self {
-        let mut world = World::new(settings);
+        let mut world = Harness::new(settings);
         world.list(ListKind::Full, (0..count).map(entry).collect());
         world
     }
@@ -134,7 +134,7 @@
         self.settings.classes = classes.iter().map(of_before).collect();
         self.settings.limits.max_attempts = max_attempts;
         let settings = Box::new(self.settings.clone());
-        let event = Event::Settings { settings, classes: classes.to_vec(), tenants: Vec::new() };
+        let event = Event::Settings { settings, previous_classes: classes.to_vec(), previous_tenants: Vec::new() };
         assert_eq!(self.tell(event), []);
     }
 
@@ -171,9 +171,9 @@
     pub fn take(&mut self, new: NewRequest) -> Vec<Action> {
         let deadline = self.now + new.remaining;
         let (classes, limits) = (&self.settings.classes, &self.settings.limits);
-        let (repeat, max_attempts) = match &new.terms {
-            Some(terms) => (terms.class.repeat, terms.max_attempts),
-            None => (classes[new.class].repeat, limits.max_attempts),
+        let (repeat, max_attempts) = match &new.policy {
+            Some(terms) => (terms.class.retry_safety, terms.max_attempts),
+            None => (classes[new.class].retry_safety, limits.max_attempts),
         };
         let taken = Taken { repeat, max_attempts, deadline, answered: false, tries: Vec::new() };
         self.requests.insert(new.id, taken);
@@ -211,7 +211,7 @@
             elapsed,
             finished,
             report,
-            spent,
+            body_consumed: spent,
         }))
     }
 
@@ -220,7 +220,7 @@
         let (server, sent) = (!self.probes.is_empty()).then(|| self.probes.remove(0))?;
         let outcome = if load.is_some() { Outcome::Served } else { Outcome::TimedOut };
         let report = load.map(|load| LoadReport { in_flight: Some(load), ..LoadReport::default() });
-        self.tell(Event::Probed(ProbeEnd { server, outcome, elapsed: self.now - sent, report }));
+        self.tell(Event::ProbeEnded(ProbeEnd { server, outcome, elapsed: self.now - sent, report }));
         Some(server)
     }
 
@@ -241,7 +241,7 @@
     pub fn pass(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.now = (self.now + self.settings.tick).min(end);
+            self.now = (self.now + self.settings.timer_resolution).min(end);
             while let Some((&due, _)) = self.timers.first_key_value().filter(|((at, _), _)| *at <= self.now) {
                 let token = self.timers.remove(&due).expect("a timer");
                 self.tell(Event::Timer { token });
@@ -309,7 +309,7 @@
                 assert!(!taken.answered, "rule 1: a second answer for {id:?}");
                 let ran = taken.tries.iter().any(|t| !t.outcome.is_some_and(proves_no_run));
                 let allowed = match taken.repeat {
-                    Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. } => true,
+                    RetrySafety::Idempotent | RetrySafety::Keyed { scope: DedupScope::All, .. } => true,
                     _ => !ran,
                 };
                 assert!(allowed, "rule 2: {id:?} may have run and is refused");
@@ -349,18 +349,18 @@
         let limits = &self.settings.limits;
         assert!(taken.tries.len() < taken.max_attempts as usize, "too many attempts");
         let parallel = taken.tries.iter().any(|t| t.outcome.is_none());
-        assert!(!parallel || limits.parallel_attempts, "two attempts at once");
+        assert!(!parallel || limits.hedging, "two attempts at once");
         let ran = taken.tries.iter().find(|t| !t.outcome.is_some_and(proves_no_run));
         if let Some(first) = ran {
             let home = &self.told[&first.server].0;
             let allowed = match taken.repeat {
-                Repeat::Safe => true,
-                Repeat::Unsafe => false,
-                Repeat::Keyed { scope, window } => {
+                RetrySafety::Idempotent => true,
+                RetrySafety::NonIdempotent => false,
+                RetrySafety::Keyed { scope, window } => {
                     let group = match scope {
-                        Scope::All => true,
-                        Scope::Zone => home.zone == entry.zone,
-                        Scope::Cell => home.cell == entry.cell,
+                        DedupScope::All => true,
+                        DedupScope::Zone => home.zone == entry.zone,
+                        DedupScope::Cell => home.cell == entry.cell,
                     };
                     group && self.now <= first.sent + window
                 }
