--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,11 +1,11 @@
 //! Nothing grows with requests that have ended or servers that have left. Alone in its process, so that the
 //! process's memory is the balancer's.
 
-mod world;
+mod harness;
 
 use hillpick::*;
 use std::time::Duration;
-use world::{entry, ms, probing};
+use harness::{entry, ms, probe_settings};
 
 /// Resident memory in KiB, as Linux tells it.
 fn resident() -> Option<u64> {
@@ -28,8 +28,8 @@
         let new = NewRequest {
             id,
             class: 0,
-            terms: None,
-            arriving: false,
+            policy: None,
+            body_streaming: false,
             tenant: 0,
             key: number,
             remaining: ms(900),
@@ -50,11 +50,11 @@
                         elapsed,
                         finished: true,
                         report,
-                        spent: false,
+                        body_consumed: false,
                     };
                     Event::AttemptEnded(end)
                 }
-                Action::Probe { server } => Event::Probed(ProbeEnd { server, outcome, elapsed, report }),
+                Action::Probe { server } => Event::ProbeEnded(ProbeEnd { server, outcome, elapsed, report }),
                 _ => continue,
             };
             balancer.handle(now, event, &mut actions);
@@ -64,7 +64,7 @@
 
 #[test]
 fn memory_does_not_grow_with_what_has_passed() {
-    let mut balancer = Balancer::new(probing(), 1);
+    let mut balancer = Balancer::new(probe_settings(), 1);
     play(&mut balancer, 1..20_000);
     let Some(before) = resident() else { return eprintln!("no /proc here: not checked") };
     play(&mut balancer, 20_000..150_000);
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,11 +1,11 @@
 //! Overload: what a node adds to servers that are slow already, and how it comes out of that.
 
-mod world;
+mod harness;
 
 use hillpick::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use world::*;
+use harness::*;
 
 /// Work of three requests in four, and of the fourth, at a server that has nothing else to do.
 const SHORT: Duration = Duration::from_millis(20);
@@ -14,14 +14,14 @@
 const USUAL: u64 = 21;
 
 /// One attempt at a time, up to six of them; servers that may go on with what was given up.
-fn one_at_a_time() -> World {
-    let mut settings = answering();
-    settings.limits.parallel_attempts = false;
+fn one_at_a_time() -> Harness {
+    let mut settings = piggyback_settings();
+    settings.limits.hedging = false;
     settings.limits.max_attempts = 6;
     for class in &mut settings.classes {
-        (class.aim, class.deadline) = (ms(1000), ms(1000));
+        (class.latency_target, class.deadline) = (ms(1000), ms(1000));
     }
-    World::with_servers(settings, 6)
+    Harness::with_servers(settings, 6)
 }
 
 /// What came of a number of requests.
@@ -40,7 +40,7 @@
 
 impl Sharing {
     /// A millisecond passes: each server spreads it over what it holds, less well if it holds more than two.
-    fn step(&mut self, world: &mut World) -> usize {
+    fn step(&mut self, world: &mut Harness) -> usize {
         for (id, attempt) in world.out() {
             let work = if id.0 % 4 == 0 { LONG } else { SHORT };
             let server = world.server_of(id, attempt);
@@ -69,7 +69,7 @@
 }
 
 /// Requests at an even rate for so long.
-fn play(world: &mut World, servers: &mut Sharing, lasts: u64, every: u64) -> Tally {
+fn play(world: &mut Harness, servers: &mut Sharing, lasts: u64, every: u64) -> Tally {
     let mut tally = Tally::default();
     for at in 0..lasts {
         if at % every == 0 {
@@ -109,7 +109,7 @@
 }
 
 /// The further attempts at so many requests, one after the other, that nobody answers.
-fn made_again(world: &mut World, requests: usize) -> usize {
+fn made_again(world: &mut Harness, requests: usize) -> usize {
     world.log.clear();
     for _ in 0..requests {
         let (id, _) = world.request(0);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,12 +1,12 @@
 //! Random legal histories: the four rules hold in each, and the same history gives the same actions.
 
-mod world;
+mod harness;
 
 use hillpick::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use std::time::Duration;
-use world::*;
+use harness::*;
 
 /// One step of a history. The numbers choose among what is there at that point.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
 ];
 
 fn play(settings: Settings, seed: u64, steps: &[Step]) -> Vec<Action> {
-    let mut world = World::seeded(settings, seed);
+    let mut world = Harness::seeded(settings, seed);
     world.list(ListKind::Cached, (0..4).map(entry).collect());
     for step in steps {
         match step {
@@ -108,17 +108,17 @@
 
     #[test]
     fn the_rules_hold_with_reports_from_probes(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
-        let mut settings = probing();
-        settings.rules.cold_share = 0.2;
-        settings.rules.warm_after = ms(5000);
+        let mut settings = probe_settings();
+        settings.rules.cold_capacity = 0.2;
+        settings.rules.warm_up_time = ms(5000);
         settings.rules.drain_grace = ms(0);
         prop_assert_eq!(play(settings.clone(), seed, &steps), play(settings, seed, &steps));
     }
 
     #[test]
     fn the_rules_hold_with_reports_from_answers(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
-        let mut settings = answering();
-        settings.limits.parallel_attempts = false;
+        let mut settings = piggyback_settings();
+        settings.limits.hedging = false;
         settings.rules.drain_grace = ms(0);
         settings.list_on_request = true;
         play(settings, seed, &steps);
@@ -139,12 +139,12 @@
 fn cold_server_is_spared(seed: u64, arrivals: &[(usize, u64)]) -> Result<(), TestCaseError> {
     const COLD: ServerId = ServerId(9);
     let work = ms(20); // so a warm server's capacity is 50 requests a second
-    let mut settings = answering();
-    settings.rules.cold_share = 0.05;
-    settings.rules.warm_after = ms(20_000);
+    let mut settings = piggyback_settings();
+    settings.rules.cold_capacity = 0.05;
+    settings.rules.warm_up_time = ms(20_000);
     settings.rules.overload_factor = 4.0;
     settings.rules.overload_time = ms(1500);
-    let mut world = World::seeded(settings, seed);
+    let mut world = Harness::seeded(settings, seed);
     world.list(ListKind::Full, (0..3).map(entry).collect());
     let mut free_at = std::collections::BTreeMap::new();
     let (mut seen, mut cold, mut began) = (0, Vec::new(), None);
@@ -193,22 +193,22 @@
 /// been listed for a while when all of them turn to it at once. Counts what all together send it in a span.
 fn many_nodes_spare_a_cold_server(seed: u64) -> Result<(), TestCaseError> {
     const NODES: u32 = 200;
-    let mut settings = answering();
+    let mut settings = piggyback_settings();
     settings.nodes = NODES;
-    settings.rules.cold_share = 0.12;
-    settings.rules.warm_after = ms(19_000);
+    settings.rules.cold_capacity = 0.12;
+    settings.rules.warm_up_time = ms(19_000);
     settings.rules.overload_factor = 1.5;
     settings.rules.overload_time = ms(1500);
     let nodes = 0..NODES;
     let mut worlds: Vec<_> = nodes
         .map(|node| {
             let mut world =
-                World::seeded(Settings { node, ..settings.clone() }, seed.wrapping_add(node.into()));
+                Harness::seeded(Settings { node, ..settings.clone() }, seed.wrapping_add(node.into()));
             world.list(ListKind::Full, (0..10).map(entry).collect());
             world
         })
         .collect();
-    let turn = |worlds: &mut Vec<World>, rounds: std::ops::Range<u32>| {
+    let turn = |worlds: &mut Vec<Harness>, rounds: std::ops::Range<u32>| {
         let mut sent = Vec::new();
         for round in rounds {
             for (node, world) in worlds.iter_mut().enumerate() {
@@ -280,15 +280,15 @@
 fn a_fleet_spares_cold_servers(fleet: &Fleet, probes: bool, seed: u64) -> Result<(), TestCaseError> {
     const SERVERS: u64 = 10;
     let (work, step, warm_after, span) = (ms(50), ms(25), 8.0, 2.0);
-    let mut settings = if probes { probing() } else { answering() };
+    let mut settings = if probes { probe_settings() } else { piggyback_settings() };
     settings.nodes = fleet.nodes;
-    settings.rules.cold_share = 0.12;
-    settings.rules.warm_after = Duration::from_secs_f64(warm_after);
+    settings.rules.cold_capacity = 0.12;
+    settings.rules.warm_up_time = Duration::from_secs_f64(warm_after);
     settings.rules.overload_factor = 3.0;
     settings.rules.overload_time = Duration::from_secs_f64(span);
     let fresh = |node: u32, life: u64| {
         let seed = seed.wrapping_add(u64::from(node) + 1000 * life);
-        World::seeded(Settings { node, ..settings.clone() }, seed)
+        Harness::seeded(Settings { node, ..settings.clone() }, seed)
     };
     let mut worlds: Vec<_> = (0..fleet.nodes).map(|node| fresh(node, 0)).collect();
     let mut told = vec![false; worlds.len()];
--- a/tests/resettle.rs
+++ b/tests/settings_reload.rs
@@ -1,10 +1,10 @@
 //! New settings for a balancer that knows many servers, classes and tenants and holds many requests: the cost goes by
 //! their sum. By their products, as 20,000 servers times 200,000 classes for each change, the test would not end.
 
-mod world;
+mod harness;
 
 use hillpick::*;
-use world::{class, entry, ms, settings};
+use harness::{class, entry, ms, settings};
 
 const CLASSES: usize = 200_000;
 const TENANTS: usize = 200_000;
@@ -20,8 +20,8 @@
 #[test]
 fn new_settings_cost_by_the_sum_of_classes_tenants_servers_and_requests() {
     let all = Settings {
-        classes: vec![class(Repeat::Safe); CLASSES],
-        tenants: vec![Tenant { allowance_per_s: 1.0, share: 0.0 }; TENANTS],
+        classes: vec![class(RetrySafety::Idempotent); CLASSES],
+        tenants: vec![Tenant { rate_limit_per_s: 1.0, share: 0.0 }; TENANTS],
         ..settings()
     };
     let mut balancer = Balancer::new(all.clone(), 1);
@@ -35,8 +35,8 @@
     for _ in 0..CHANGES {
         let event = Event::Settings {
             settings: Box::new(all.clone()),
-            classes: reversed(CLASSES),
-            tenants: reversed(TENANTS),
+            previous_classes: reversed(CLASSES),
+            previous_tenants: reversed(TENANTS),
         };
         actions.clear();
         balancer.handle(ms(2), event, &mut actions);
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -1,6 +1,6 @@
 //! A node that holds a subset of the list decides as if it held all of it.
 
-mod world;
+mod harness;
 
 use hillpick::control::roster::Roster;
 use hillpick::control::updates::{Backend, ListUpdate};
@@ -9,7 +9,7 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::net::SocketAddr;
 use std::time::Duration;
-use world::{answering, entry, ms, probing, settings};
+use harness::{piggyback_settings, entry, ms, probe_settings, settings};
 
 const LISTED: u64 = 2_000;
 const HELD: usize = 128;
@@ -62,7 +62,7 @@
         let told = self.roster.take(ListUpdate { kind, backends }, self.part.ring_layout());
         let subset: Vec<_> = told.update.backends.iter().map(|backend| backend.entry).collect();
         let mut actions = Vec::new();
-        self.part.handle(self.now, Event::Rings(told.rings), &mut actions);
+        self.part.handle(self.now, Event::SubsetRings(told.rings), &mut actions);
         assert_eq!(actions, []);
         self.part.handle(self.now, Event::List { kind: told.update.kind, entries: subset }, &mut actions);
         let mut expected = Vec::new();
@@ -121,13 +121,13 @@
                 Due::Timer(token) => self.tell(Event::Timer { token }),
                 Due::Probe { server, sent } => {
                     let (outcome, elapsed) = (Outcome::Served, self.now - sent);
-                    self.tell(Event::Probed(ProbeEnd { server, outcome, elapsed, report }));
+                    self.tell(Event::ProbeEnded(ProbeEnd { server, outcome, elapsed, report }));
                 }
                 Due::Attempt { id, attempt, server, sent } => {
                     let outcome = self.outcome(server);
                     let (elapsed, finished) = (self.now - sent, outcome == Outcome::Served);
                     let end =
-                        AttemptEnd { id, attempt, server, outcome, elapsed, finished, report, spent: false };
+                        AttemptEnd { id, attempt, server, outcome, elapsed, finished, report, body_consumed: false };
                     self.tell(Event::AttemptEnded(end));
                 }
             }
@@ -151,9 +151,9 @@
 fn held_by(layout: RingLayout) -> usize {
     let mut ring: Vec<_> = (0..LISTED).collect();
     ring.sort_unstable_by_key(|n| ServerId(*n).ring_position());
-    let stretch = layout.stretch(ring.len(), HELD);
+    let stretch = layout.held_range(ring.len(), HELD);
     assert_eq!(stretch.length, HELD + HELD / 8);
-    let held = ring.iter().cycle().skip(stretch.begins).take(stretch.length);
+    let held = ring.iter().cycle().skip(stretch.start).take(stretch.length);
     let cells: std::collections::BTreeSet<_> = held.map(|n| n / 4).collect();
     4 * cells.len()
 }
@@ -168,16 +168,16 @@
 }
 
 fn rules(settings: Settings) -> Settings {
-    let rules = Rules { cold_share: 0.2, warm_after: ms(20_000), ..settings.rules };
+    let rules = Rules { cold_capacity: 0.2, warm_up_time: ms(20_000), ..settings.rules };
     Settings { nodes: 10, rules, ..settings }
 }
 
 #[test]
 fn any_node_of_a_tier_decides_as_if_it_held_all() {
     // By this price a node uses forty of the servers.
-    let mut priced = answering();
+    let mut priced = piggyback_settings();
     priced.prices.connections = 5.0;
-    for settings in [settings(), probing(), answering(), priced] {
+    for settings in [settings(), probe_settings(), piggyback_settings(), priced] {
         for node in [0, 1, 5, 9] {
             let mut pair = Pair::new(Settings { node, ..rules(settings.clone()) });
             let started = ms(95_000);
@@ -193,7 +193,7 @@
 #[test]
 fn servers_that_come_and_go_beyond_those_in_use_change_no_decision() {
     // The first of the tier: its part begins with the ring, whatever its length.
-    let mut pair = Pair::new(Settings { node: 0, ..rules(probing()) });
+    let mut pair = Pair::new(Settings { node: 0, ..rules(probe_settings()) });
     pair.list(ListKind::Full, (0..LISTED).map(listed).collect());
     for round in 0..20 {
         pair.requests(40);
@@ -210,7 +210,7 @@
 fn a_move_within_the_tier_is_no_news_from_discovery() {
     // A node that has to ask for its list asks again when it would have, whatever part of it it holds.
     let mut settings = Settings { list_on_request: true, nodes: 10, ..settings() };
-    settings.rules.ask_within = ms(4000);
+    settings.rules.list_refresh_interval = ms(4000);
     let (mut node, mut actions) = (Balancer::new(settings, 5), Vec::new());
     let mut roster = Roster::new(HELD, node.ring_layout());
     node.handle(ms(1000), Event::Timer { token: 1 }, &mut actions);
@@ -219,11 +219,11 @@
     roster.take(list, node.ring_layout());
     node.handle(ms(1001), Event::List { kind: ListKind::Failed, entries: Vec::new() }, &mut actions);
     assert!(!asked(&actions));
-    let tier = Tier { live: 9, rank: 3, agreed: true, could_be_alive: 9 };
-    node.handle(ms(1002), Event::Tier(tier), &mut actions);
+    let tier = FleetView { live: 9, rank: 3, agreed: true, could_be_alive: 9 };
+    node.handle(ms(1002), Event::FleetView(tier), &mut actions);
     let moved = roster.move_to(node.ring_layout()).expect("another place");
     assert_eq!(moved.update.kind, ListKind::Subset);
-    node.handle(ms(1003), Event::Rings(moved.rings), &mut actions);
+    node.handle(ms(1003), Event::SubsetRings(moved.rings), &mut actions);
     node.handle(ms(1003), Event::List { kind: moved.update.kind, entries: Vec::new() }, &mut actions);
     node.handle(ms(6000), Event::Timer { token: u64::MAX }, &mut actions);
     assert!(asked(&actions), "{actions:?}");
@@ -252,7 +252,7 @@
         let backends = (0..LISTED).map(|n| Backend { entry: zoned(n), address }).collect();
         let told = roster.take(ListUpdate { kind: ListKind::Full, backends }, node.ring_layout());
         let mut actions = Vec::new();
-        node.handle(ms(1000), Event::Rings(told.rings), &mut actions);
+        node.handle(ms(1000), Event::SubsetRings(told.rings), &mut actions);
         let entries = told.update.backends.iter().map(|backend| backend.entry).collect();
         node.handle(ms(1000), Event::List { kind: told.update.kind, entries }, &mut actions);
         for request in 1..=100 {
@@ -271,7 +271,7 @@
                 elapsed: ms(10),
                 finished: request % 3 != 0,
                 report: None,
-                spent: false,
+                body_consumed: false,
             };
             node.handle(now + ms(10), Event::AttemptEnded(end.clone()), &mut actions);
             if end.finished {
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -1,13 +1,13 @@
 //! The module by zones, in virtual time: each hard case by its promise. The world checks rules 1 to 3 throughout; rule 4
 //! is the lab's to judge, for the sum of all nodes.
 
-mod world;
+mod harness;
 
 use hillpick::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use world::{World, entry, ms, settings};
+use harness::{Harness, entry, ms, settings};
 
 /// What comes of an attempt, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -24,7 +24,7 @@
 type Does = Box<dyn Fn(u8, u64, usize) -> How>;
 
 struct Play {
-    world: World,
+    world: Harness,
     does: Does,
     zones: BTreeMap<ServerId, u8>,
     asked: u64,
@@ -32,7 +32,7 @@
 
 fn zones(regions: &[u16], round_trip: &[u64]) -> Settings {
     let round_trip = round_trip.iter().map(|time| ms(*time)).collect();
-    let zones = Zones { round_trip, region: regions.to_vec(), return_time: Duration::from_secs(10) };
+    let zones = Zones { round_trip, region: regions.to_vec(), failback_time: Duration::from_secs(10) };
     Settings { zones: Some(zones), ..settings() }
 }
 
@@ -46,7 +46,7 @@
     fn new(settings: Settings, servers: impl IntoIterator<Item = ServerEntry>) -> Self {
         let servers: Vec<_> = servers.into_iter().collect();
         let zones = servers.iter().map(|server| (server.id, server.zone)).collect();
-        let mut world = World::new(settings);
+        let mut world = Harness::new(settings);
         world.list(ListKind::Full, servers);
         Play { world, does: Box::new(|_, _, _| FAST), zones, asked: 0 }
     }
@@ -133,7 +133,7 @@
         play.run(10);
         play.does(move |zone, _, _| if zone == 0 { how } else { FAST });
         play.run(4);
-        assert_eq!(play.zone(0).standing, Standing::Left, "{how:?}");
+        assert_eq!(play.zone(0).state, ZoneState::FailedOver, "{how:?}");
         let (sends, served) = play.run(10);
         assert!(of(&sends, 0) < 0.1 && served > 0.9, "{how:?}: {sends:?} {served}");
         play.does(|_, _, _| FAST);
@@ -165,7 +165,7 @@
     play.run(20);
     let (sends, served) = play.run(20);
     assert!(of(&sends, 0) > 0.55 && served > 0.9, "{sends:?} {served} {:?}", play.world.balancer.zones());
-    assert_ne!(play.zone(0).standing, Standing::Left);
+    assert_ne!(play.zone(0).state, ZoneState::FailedOver);
 }
 
 /// Two of ten servers are dead: they are ejected one by one, and the zone keeps its share.
@@ -186,7 +186,7 @@
     play.does(|zone, server, _| if zone == 0 && server < 18 { How::Silent } else { FAST });
     for _ in 0..20 {
         play.run(1);
-        assert_ne!(play.zone(0).standing, Standing::Left, "{:?}", play.zone(0));
+        assert_ne!(play.zone(0).state, ZoneState::FailedOver, "{:?}", play.zone(0));
     }
 }
 
@@ -259,8 +259,8 @@
     play.run(5);
     play.does(|_, server, _| if server % 2 == 0 { How::Ends(Outcome::Rejected, 5) } else { FAST });
     play.run(20);
-    let standings = [0, 1, 2].map(|zone| play.zone(zone).standing);
-    assert_eq!(standings, [Standing::Sound; 3]);
+    let standings = [0, 1, 2].map(|zone| play.zone(zone).state);
+    assert_eq!(standings, [ZoneState::Healthy; 3]);
     assert!(play.zone(0).share > 0.5, "{:?}", play.zone(0));
 }
 
@@ -269,7 +269,7 @@
 fn an_evacuation_ends_and_spares_the_last_zone_that_works() {
     let mut play = Play::usual();
     play.run(5);
-    let order = |zone, lasts| Event::Evacuate { zone, lasts };
+    let order = |zone, lasts| Event::Evacuate { zone, duration: lasts };
     play.world.tell(order(0, Some(Duration::from_secs(15))));
     play.run(5);
     let (sends, _) = play.run(5);
@@ -278,7 +278,7 @@
     play.does(|zone, _, _| if zone == 1 { GONE } else { FAST });
     play.run(4);
     play.world.tell(order(2, Some(Duration::from_secs(60))));
-    assert_eq!(play.zone(2).evacuated, None, "the last that works");
+    assert_eq!(play.zone(2).evacuated_until, None, "the last that works");
     // Now that one fails too: the evacuated zone is needed.
     play.does(|zone, _, _| if zone == 0 { FAST } else { GONE });
     play.run(6);
@@ -286,11 +286,11 @@
     assert!(of(&sends, 0) > 0.8 && served > 0.9, "{sends:?} {served} {:?}", play.zone(0));
     play.does(|_, _, _| FAST);
     play.run(60);
-    assert_eq!(play.zone(0).evacuated, None, "it has ended by itself");
+    assert_eq!(play.zone(0).evacuated_until, None, "it has ended by itself");
     assert!(of(&play.run(5).0, 0) > 0.9);
     play.world.tell(order(0, Some(Duration::from_secs(900))));
     play.world.tell(order(0, None));
-    assert_eq!(play.zone(0).evacuated, None, "and can be called off");
+    assert_eq!(play.zone(0).evacuated_until, None, "and can be called off");
 }
 
 /// Zones come, go and move with the list: shares follow, and sum to one.
@@ -301,20 +301,20 @@
     let moved: Vec<_> = (0..30).map(|n| ServerEntry { zone: 3, ..entry(n) }).take(10).collect();
     play.zones.extend(moved.iter().map(|server| (server.id, 3)));
     play.world.list(ListKind::Changes, moved);
-    assert_eq!(play.zone(3).ready, 10);
+    assert_eq!(play.zone(3).ready_servers, 10);
     play.run(5);
     let gone = (0..30).filter(|n| n % 3 == 0).map(entry);
     let gone: Vec<_> = gone.map(|it| ServerEntry { state: ServerState::Gone, ..it }).collect();
     play.world.list(ListKind::Changes, gone);
     let (sends, served) = play.run(10);
     assert!(of(&sends, 0) == 0.0 && served > 0.99, "{sends:?} {served}");
-    assert!(play.world.balancer.zones().iter().all(|it| it.zone != 0 || it.ready == 0));
+    assert!(play.world.balancer.zones().iter().all(|it| it.zone != 0 || it.ready_servers == 0));
     // And settings without zones put an end to it.
     play.world.settings.zones = None;
     let event = Event::Settings {
         settings: Box::new(settings()),
-        classes: (0..5).map(Some).collect(),
-        tenants: vec![],
+        previous_classes: (0..5).map(Some).collect(),
+        previous_tenants: vec![],
     };
     play.world.tell(event);
     assert!(play.world.balancer.zones().is_empty());
