--- a/crates/fleet/src/agreement.rs
+++ b/crates/fleet/src/agreement.rs
@@ -126,7 +126,15 @@
         };
         self.state = Some((certainty, since));
         let could_be_alive = certainty.could_be_alive(members, fleet_size);
-        Agreement { certainty, peers_heard: heard, agreeing_share: share, since, members, digest, could_be_alive }
+        Agreement {
+            certainty,
+            peers_heard: heard,
+            agreeing_share: share,
+            since,
+            members,
+            digest,
+            could_be_alive,
+        }
     }
 }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -15,6 +15,6 @@
 
 pub use agreement::{Agreement, Certainty};
 pub use health::Health;
-pub use identity::{Address, NameError, Identity, Name, Phase};
+pub use identity::{Address, Identity, Name, NameError, Phase};
 pub use membership::{Cause, Change, Counters, MAX_MEMBERS, Member, Membership, Output, Settings};
 pub use wire::{MAX_DATAGRAM_BYTES, Rejected};
--- a/crates/fleet/tests/fault_scenarios.rs
+++ b/crates/fleet/tests/fault_scenarios.rs
@@ -3,8 +3,8 @@
 mod sim_network;
 
 use hillpick_fleet::{Address, Cause, Certainty, Membership, Output, Rejected, Settings};
-use sim_network::{Net, name, s};
 use rand::Rng;
+use sim_network::{Net, name, s};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -172,8 +172,11 @@
         let since = net.now;
         net.loss = 0.4;
         net.run(120.0);
-        let spared: u64 =
-            net.live().iter().map(|node| net.nodes[*node].core.as_ref().unwrap().counters().suspicions_cleared).sum();
+        let spared: u64 = net
+            .live()
+            .iter()
+            .map(|node| net.nodes[*node].core.as_ref().unwrap().counters().suspicions_cleared)
+            .sum();
         (net.changes(since, Cause::Failed).values().sum::<usize>(), spared)
     };
     let (with, spared) = deaths(true);
--- a/crates/fleet/tests/peers_stub/mod.rs
+++ b/crates/fleet/tests/peers_stub/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // each user has its own part of this
 
 use foca::{Codec, Header, Message, PostcardCodec};
-use hillpick_fleet::{Address, MAX_DATAGRAM_BYTES, Identity, Membership, Name, Output, Settings};
+use hillpick_fleet::{Address, Identity, MAX_DATAGRAM_BYTES, Membership, Name, Output, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
--- a/crates/fleet/tests/random_faults.rs
+++ b/crates/fleet/tests/random_faults.rs
@@ -4,9 +4,9 @@
 
 mod sim_network;
 
-use sim_network::Net;
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, RngSeed};
+use sim_network::Net;
 
 #[derive(Clone, Debug)]
 enum Fault {
--- a/crates/lab/src/capacity/roles/serving.rs
+++ b/crates/lab/src/capacity/roles/serving.rs
@@ -75,7 +75,11 @@
 
 /// The roles, in the order of the page.
 pub const ROLES: &[Role] = &[
-    Role { name: "front side", mechanism: "`src/bin/sillward/frontend.rs`; bounded by `limits`", lines: FRONT },
+    Role {
+        name: "front side",
+        mechanism: "`src/bin/sillward/frontend.rs`; bounded by `limits`",
+        lines: FRONT,
+    },
     Role {
         name: "backend side",
         mechanism: "`src/bin/sillward/backend.rs`; bounded by `limits.sockets`",
--- a/crates/lab/src/emu/clients.rs
+++ b/crates/lab/src/emu/clients.rs
@@ -5,7 +5,7 @@
 use super::world::*;
 use crate::judge::{Cause, Closed};
 use crate::time::{FOREVER, Nanos, in_secs, secs};
-use hillpick::{Event, NewRequest, RetrySafety, RequestId, DedupScope};
+use hillpick::{DedupScope, Event, NewRequest, RequestId, RetrySafety};
 use rand::Rng;
 use rand_distr::{Distribution, Exp1};
 
--- a/crates/lab/src/emu/nodes.rs
+++ b/crates/lab/src/emu/nodes.rs
@@ -9,7 +9,8 @@
 use crate::strategy::Found;
 use crate::time::{FOREVER, Nanos, duration, millis, secs};
 use hillpick::{
-    Action, AttemptEnd, Event, ListKind, LoadReport, Outcome, ProbeEnd, RetrySafety, RequestId, DedupScope, ServerId,
+    Action, AttemptEnd, DedupScope, Event, ListKind, LoadReport, Outcome, ProbeEnd, RequestId, RetrySafety,
+    ServerId,
 };
 use hillpick_fleet::Cause;
 use rand::Rng;
--- a/crates/lab/src/emu/plan.rs
+++ b/crates/lab/src/emu/plan.rs
@@ -9,7 +9,7 @@
 use crate::size::Size;
 use crate::spec::{Experiment, Repeat, Reports};
 use crate::time::{FOREVER, Nanos, millis, secs};
-use hillpick::{Limits, ReportSource, Rules, DedupScope, Settings, Zones};
+use hillpick::{DedupScope, Limits, ReportSource, Rules, Settings, Zones};
 use rand_distr::LogNormal;
 use std::time::Duration;
 
--- a/crates/lab/src/rig/books.rs
+++ b/crates/lab/src/rig/books.rs
@@ -4,7 +4,7 @@
 use crate::cold::{Cold, ColdModel};
 use crate::judge::{Cause, Judge, Rule};
 use crate::time::{Nanos, duration};
-use hillpick::{RetrySafety, DedupScope};
+use hillpick::{DedupScope, RetrySafety};
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -312,8 +312,10 @@
         kept.judge.tally.refused += 1;
         let Some(asked) = kept.asked.get_mut(id) else { return };
         kept.judge.tally.refused_unsent += u64::from(!asked.sent_on);
-        let harmless =
-            matches!(self.repeats[asked.class], RetrySafety::Idempotent | RetrySafety::Keyed { scope: DedupScope::All, .. });
+        let harmless = matches!(
+            self.repeats[asked.class],
+            RetrySafety::Idempotent | RetrySafety::Keyed { scope: DedupScope::All, .. }
+        );
         if asked.ran.is_empty() {
             asked.cause = asked.cause.max(Cause::RefusedFull);
         } else if !harmless {
@@ -368,7 +370,13 @@
             ColdModel { factor: 3.0, over: 3 * SECOND, unit: 0.1, cold_share: 0.1, warm: 10_000 * SECOND };
         let zones = Zones { nodes: vec![0, 1], servers: vec![0, 1, 0] };
         let judge = Judge::new(7, SECOND, 3, 2);
-        let books = Books::new(judge, vec![RetrySafety::Idempotent, RetrySafety::NonIdempotent, keyed], Duration::ZERO, cold, zones);
+        let books = Books::new(
+            judge,
+            vec![RetrySafety::Idempotent, RetrySafety::NonIdempotent, keyed],
+            Duration::ZERO,
+            cold,
+            zones,
+        );
         for (id, class) in [("1", 0), ("2", 1), ("3", 2)] {
             books.ask(id, class, 0, WORK);
         }
--- a/crates/lab/src/rig/throughput.rs
+++ b/crates/lab/src/rig/throughput.rs
@@ -77,8 +77,13 @@
     let rig = Rig::parse("throughput", &text).map_err(io::Error::other)?;
     let zones = Zones { nodes: vec![0], servers: vec![0; SERVERS] };
     let judge = Judge::new(1, SECOND, 1, 1);
-    let books =
-        Arc::new(Books::new(judge, vec![hillpick::RetrySafety::Idempotent], Duration::ZERO, ColdModel::NEVER, zones));
+    let books = Arc::new(Books::new(
+        judge,
+        vec![hillpick::RetrySafety::Idempotent],
+        Duration::ZERO,
+        ColdModel::NEVER,
+        zones,
+    ));
     let mut servers = Vec::new();
     let targets: Vec<Target> = (0..SERVERS).map(|_| Target::default()).collect();
     for (number, target) in targets.iter().enumerate() {
--- a/crates/lab/src/scale/hollow/membership.rs
+++ b/crates/lab/src/scale/hollow/membership.rs
@@ -5,7 +5,7 @@
 use super::state::{Seen, Shared};
 use hillpick::FleetView;
 use hillpick::control::config::FleetConfig;
-use hillpick_fleet::{Address, Certainty, MAX_DATAGRAM_BYTES, Identity, Membership, Name, Output, Settings};
+use hillpick_fleet::{Address, Certainty, Identity, MAX_DATAGRAM_BYTES, Membership, Name, Output, Settings};
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
--- a/crates/lab/src/scale/hollow/node.rs
+++ b/crates/lab/src/scale/hollow/node.rs
@@ -9,8 +9,8 @@
 use hillpick::control::updates::{DiscoveryCommand, ListUpdate};
 use hillpick::settings::{SettingsUpdate, SiteSettings};
 use hillpick::{
-    Action, AttemptEnd, Balancer, Event, ListKind, LoadReport, NewRequest, Outcome, ProbeEnd, RequestId,
-    ServerId, FleetView,
+    Action, AttemptEnd, Balancer, Event, FleetView, ListKind, LoadReport, NewRequest, Outcome, ProbeEnd,
+    RequestId, ServerId,
 };
 use rand::Rng;
 use rand_distr::{Distribution, Exp1};
@@ -158,9 +158,14 @@
                 self.move_subset();
             }
             Message::Settings(replacement, version, made_ms) => {
-                let SettingsUpdate { site, settings, previous_classes: classes, previous_tenants: tenants } = *replacement;
+                let SettingsUpdate { site, settings, previous_classes: classes, previous_tenants: tenants } =
+                    *replacement;
                 self.site = site;
-                self.decide(Event::Settings { settings, previous_classes: classes, previous_tenants: tenants });
+                self.decide(Event::Settings {
+                    settings,
+                    previous_classes: classes,
+                    previous_tenants: tenants,
+                });
                 self.move_subset();
                 self.seen.borrow_mut().settings = version;
                 self.shared.settings.borrow_mut().note(made_ms, self.clock.now().as_millis() as u64);
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -221,7 +221,8 @@
         let seconds = (self.books.now() - self.begun) as f64 / SECOND as f64;
         let (judge, server_work) = self.books.close(judge(self.seed, 1.0, self.classes));
         let tries = judge.tally.tries as f64;
-        let names: Vec<_> = (0..self.classes).map(|route| (format!("route-{route}"), RetrySafety::Idempotent)).collect();
+        let names: Vec<_> =
+            (0..self.classes).map(|route| (format!("route-{route}"), RetrySafety::Idempotent)).collect();
         let outcome = judge.outcome(Run {
             strategy: "sillward".into(),
             size: format!("{}x0", self.nodes),
--- a/crates/lab/src/shares.rs
+++ b/crates/lab/src/shares.rs
@@ -159,7 +159,8 @@
             window(1.0, 0.1, 5),
             window(1.0, 0.0, 10),
         ];
-        let keyed = RetrySafety::Keyed { scope: hillpick::DedupScope::Cell, window: std::time::Duration::ZERO };
+        let keyed =
+            RetrySafety::Keyed { scope: hillpick::DedupScope::Cell, window: std::time::Duration::ZERO };
         let safe = RetrySafety::Idempotent;
         let classes = of_classes(&books, &[safe, safe, safe, keyed, safe], 1000);
         let held = |parts: &[Option<Part>]| parts.iter().flatten().map(|part| part.held).collect::<Vec<_>>();
--- a/crates/lab/src/strategy/members.rs
+++ b/crates/lab/src/strategy/members.rs
@@ -2,7 +2,7 @@
 //! emulated network. The module hears of the fleet; nothing else of it differs.
 
 use super::Strategy;
-use hillpick::{Action, Balancer, Event, Settings, FleetView};
+use hillpick::{Action, Balancer, Event, FleetView, Settings};
 use hillpick_fleet::{Address, Cause, Certainty, Identity, Membership, Name, Output, Settings as Members};
 use std::time::Duration;
 
--- a/crates/lab/src/strategy/plain.rs
+++ b/crates/lab/src/strategy/plain.rs
@@ -2,7 +2,9 @@
 //! every request once and never repeat one, so rules 1 and 2 hold; rule 4 is not looked after.
 
 use super::Strategy;
-use hillpick::{Action, Event, ListKind, Outcome, RetrySafety, RequestId, DedupScope, ServerId, ServerState, Settings};
+use hillpick::{
+    Action, DedupScope, Event, ListKind, Outcome, RequestId, RetrySafety, ServerId, ServerState, Settings,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
@@ -114,7 +116,10 @@
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.remove(&id) else { return };
         let repeat = self.settings.classes.get(open.class).map(|class| class.retry_safety);
-        let harmless = matches!(repeat, Some(RetrySafety::Idempotent | RetrySafety::Keyed { scope: DedupScope::All, .. }));
+        let harmless = matches!(
+            repeat,
+            Some(RetrySafety::Idempotent | RetrySafety::Keyed { scope: DedupScope::All, .. })
+        );
         let retry_after = self.settings.limits.max_retry_after;
         actions.push(if harmless || !open.may_have_run {
             Action::Refuse { id, retry_after }
--- a/crates/lab/src/strategy/seeing.rs
+++ b/crates/lab/src/strategy/seeing.rs
@@ -5,7 +5,7 @@
 //! simply be repeated, and knows nothing of cold budgets.
 
 use super::{Board, Strategy};
-use hillpick::{Action, Event, ListKind, RetrySafety, RequestId, ServerId, ServerState, Settings};
+use hillpick::{Action, Event, ListKind, RequestId, RetrySafety, ServerId, ServerState, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
--- a/src/bin/hillpick-benchlink/wire_tests.rs
+++ b/src/bin/hillpick-benchlink/wire_tests.rs
@@ -147,7 +147,8 @@
         report: None,
     };
     assert_eq!(end, expected);
-    let report = named_report(raw, &[ReportColumn::Concurrent, ReportColumn::Unknown, ReportColumn::LoadShare]);
+    let report =
+        named_report(raw, &[ReportColumn::Concurrent, ReportColumn::Unknown, ReportColumn::LoadShare]);
     let expected = LoadReport { in_flight: Some(3.0), utilisation: Some(0.5), ..LoadReport::default() };
     assert_eq!(report, expected);
 }
@@ -173,7 +174,11 @@
         (Action::Cancel { id, attempt: 2 }, "45 0003 0000000000000005 02", ""),
         (Action::Subscribe { on: true }, "46 0003 01", ""),
         (Action::FetchList, "48 0003", ""),
-        (Action::SendToPeer { to: None, data: b"hi 7".to_vec() }, "49 0003 ffff 00000000 00000004", "68692037"),
+        (
+            Action::SendToPeer { to: None, data: b"hi 7".to_vec() },
+            "49 0003 ffff 00000000 00000004",
+            "68692037",
+        ),
         (Action::CloseIdle { server }, "4a 0003 01020304 0506", ""),
         (
             Action::Refuse { id, retry_after: Some(ms(500.0)) },
--- a/src/bin/sillward/backend.rs
+++ b/src/bin/sillward/backend.rs
@@ -1,7 +1,7 @@
 //! The backends' side: attempts, the pool of connections, probes.
 
 use crate::backend_stream::{BackendStream, ExchangeState, Quarantine};
-use crate::body::{MAX_BUFFERED_BYTES, AttemptBody, BodyChunk, STALL_TIMEOUT};
+use crate::body::{AttemptBody, BodyChunk, MAX_BUFFERED_BYTES, STALL_TIMEOUT};
 use crate::handover::HotRestart;
 use crate::messages::{Attempt, Ended, Message, Started, Stop};
 use bytes::{Bytes, BytesMut};
@@ -494,7 +494,12 @@
         let forgotten =
             forward.dedup_window.zip(forward.first_byte_at.get()).is_some_and(|(w, first)| now >= first + w);
         let drained = place.told.is_some_and(|told| now >= told + self.drain_grace());
-        if forward.finished.get() || now >= attempt.until || drained || forgotten || forward.client.check_disconnected() {
+        if forward.finished.get()
+            || now >= attempt.until
+            || drained
+            || forgotten
+            || forward.client.check_disconnected()
+        {
             return None;
         }
         // Where the body still comes, the time begins with its last byte.
@@ -605,7 +610,10 @@
         let body = match Limited::new(body, MAX_BUFFERED_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
             Err(e) if e.is::<LengthLimitError>() => {
-                log(format_args!("server {:x}: an answer over {MAX_BUFFERED_BYTES} bytes was dropped", server.0));
+                log(format_args!(
+                    "server {:x}: an answer over {MAX_BUFFERED_BYTES} bytes was dropped",
+                    server.0
+                ));
                 return ShortAnswer { outcome: Outcome::Error, report, body: None };
             }
             Err(_) => return ShortAnswer { outcome: Outcome::Reset, report: None, body: None },
--- a/src/bin/sillward/backend/tests.rs
+++ b/src/bin/sillward/backend/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::backend_stream::REST;
-use crate::messages::{RequestBody, ForwardedRequest};
+use crate::messages::{ForwardedRequest, RequestBody};
 use hillpick::RequestId;
 use hillpick::ServerEntry;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -26,7 +26,12 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let config = Config::parse(config).expect("good");
-        let pool = ConnectionPool::start(Clock::start(), &config, LiveSettings::new(config.site.clone()), Rc::default());
+        let pool = ConnectionPool::start(
+            Clock::start(),
+            &config,
+            LiveSettings::new(config.site.clone()),
+            Rc::default(),
+        );
         let entry = ServerEntry { id: SERVER, state: ServerState::Ready, ..ServerEntry::default() };
         let backend = Backend { entry, address: listener.local_addr().expect("its address") };
         pool.update(ListKind::Full, std::slice::from_ref(&backend), pool.clock.now());
--- a/src/bin/sillward/frontend.rs
+++ b/src/bin/sillward/frontend.rs
@@ -1,19 +1,19 @@
 //! The clients' side: takes requests, checks them, and writes the final answers that the node gives.
 
-use crate::body::{Download, MAX_BUFFERED_BYTES, LONGEST, IdleBudget, STALL_TIMEOUT, Upload};
+use crate::body::{Download, IdleBudget, LONGEST, MAX_BUFFERED_BYTES, STALL_TIMEOUT, Upload};
 use crate::client::{Client, Lapse, Leaves, READ_TIMEOUT};
 use crate::client_stream::ClientStream;
 use crate::handover::HotRestart;
 use crate::lifecycle::{ACCEPT_ON, LAST_WORDS, Lifecycle, Phase, ProcessState};
 use crate::liveness::{Liveness, Peer, ask};
-use crate::messages::{Answer, RequestBody, ForwardedRequest, Message, ClientPresence, AcceptedRequest};
+use crate::messages::{AcceptedRequest, Answer, ClientPresence, ForwardedRequest, Message, RequestBody};
 use bytes::{Bytes, BytesMut};
 use hillpick::control::clock::Clock;
 use hillpick::control::config::{Config, LiveSettings};
 use hillpick::control::log::log;
 use hillpick::control::tcp;
 use hillpick::settings::SiteSettings;
-use hillpick::{NewRequest, RetrySafety, RequestId, RequestPolicy};
+use hillpick::{NewRequest, RequestId, RequestPolicy, RetrySafety};
 use http_body_util::{BodyExt, Either, Full};
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, HeaderMap, HeaderValue, RETRY_AFTER};
@@ -445,7 +445,12 @@
         let client = Rc::new(ClientPresence::new(new.id, liveness, left));
         forward.client = client.clone();
         let gone = Gone(client);
-        place.send(Message::Request(Box::new(AcceptedRequest { request: new, received_at: at, forward, reply })));
+        place.send(Message::Request(Box::new(AcceptedRequest {
+            request: new,
+            received_at: at,
+            forward,
+            reply,
+        })));
         let answer = match (answer.await, gone.0.finish()) {
             (Ok(answer), _) => answer,
             (Err(_), true) => Answer::Failed,
--- a/src/bin/sillward/lifecycle.rs
+++ b/src/bin/sillward/lifecycle.rs
@@ -101,6 +101,9 @@
         assert!(lifecycle.enter(ProcessState::Active) && !lifecycle.now().drains());
         assert!(lifecycle.enter(ProcessState::Terminating));
         assert!(!lifecycle.enter(ProcessState::Active) && !lifecycle.enter(ProcessState::Standby));
-        assert_eq!((lifecycle.now().state, *told.borrow()), (ProcessState::Terminating, ProcessState::Terminating));
+        assert_eq!(
+            (lifecycle.now().state, *told.borrow()),
+            (ProcessState::Terminating, ProcessState::Terminating)
+        );
     }
 }
--- a/src/bin/sillward/main.rs
+++ b/src/bin/sillward/main.rs
@@ -17,7 +17,7 @@
 
 use handover::{HotRestart, Sockets};
 use hillpick::control::clock::Clock;
-use hillpick::control::config::{Config, LiveSettings, ConfigFileError};
+use hillpick::control::config::{Config, ConfigFileError, LiveSettings};
 use hillpick::control::discovery::DiscoveryClient;
 use hillpick::control::log::log;
 use hillpick::control::peers::{MembershipDriver, membership_view::MembershipView};
--- a/src/bin/sillward/messages.rs
+++ b/src/bin/sillward/messages.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hillpick::control::updates::ListUpdate;
 use hillpick::settings::SettingsUpdate;
-use hillpick::{LoadReport, NewRequest, Outcome, RequestId, ServerId, FleetView, ZoneView};
+use hillpick::{FleetView, LoadReport, NewRequest, Outcome, RequestId, ServerId, ZoneView};
 use http_body_util::Full;
 use hyper::Method;
 use hyper::header::HeaderValue;
--- a/src/bin/sillward/node.rs
+++ b/src/bin/sillward/node.rs
@@ -3,8 +3,8 @@
 
 use crate::backend::ConnectionPool;
 use crate::messages::{
-    Answer, Attempt, Ended, EvacuationCommand, ForwardedRequest, Message, ProbeEnded, Started, Stop, SubsetStatus, AcceptedRequest,
-    ZoneStatus,
+    AcceptedRequest, Answer, Attempt, Ended, EvacuationCommand, ForwardedRequest, Message, ProbeEnded,
+    Started, Stop, SubsetStatus, ZoneStatus,
 };
 use hillpick::control::clock::Clock;
 use hillpick::control::config::Config;
@@ -164,9 +164,14 @@
                 out.collect::<Vec<_>>().into_iter().for_each(|(id, i)| self.stop(id, i, Stop::Cancelled));
             }
             Message::Settings(replacement) => {
-                let SettingsUpdate { site, settings, previous_classes: classes, previous_tenants: tenants } = *replacement;
+                let SettingsUpdate { site, settings, previous_classes: classes, previous_tenants: tenants } =
+                    *replacement;
                 self.site = site;
-                self.decide(Event::Settings { settings, previous_classes: classes, previous_tenants: tenants });
+                self.decide(Event::Settings {
+                    settings,
+                    previous_classes: classes,
+                    previous_tenants: tenants,
+                });
                 self.move_subset();
             }
         }
@@ -208,8 +213,10 @@
         if !request.body_streaming {
             self.set_deadline(id, deadline);
         }
-        let max_attempts =
-            request.policy.as_ref().map_or(self.site.settings.limits.max_attempts, |terms| terms.max_attempts);
+        let max_attempts = request
+            .policy
+            .as_ref()
+            .map_or(self.site.settings.limits.max_attempts, |terms| terms.max_attempts);
         let held = Held {
             forward: Rc::new(forward),
             reply: Some(reply),
--- a/src/bin/sillward/node/tests.rs
+++ b/src/bin/sillward/node/tests.rs
@@ -1,7 +1,7 @@
 //! The node's table of requests, on a clock that the test moves, before listeners that play backends.
 
 use super::*;
-use crate::body::{MAX_BUFFERED_BYTES, BodyChunk};
+use crate::body::{BodyChunk, MAX_BUFFERED_BYTES};
 use crate::messages::RequestBody;
 use bytes::Bytes;
 use hillpick::control::config::LiveSettings;
@@ -31,7 +31,8 @@
     LocalSet::new().block_on(&runtime, async {
         let (clock, config) = (Clock::start(), Config::parse(config).expect("good"));
         let ((messages, inbox), (orders, _orders)) = (mpsc::channel(16), mpsc::channel(16));
-        let pool = ConnectionPool::start(clock, &config, LiveSettings::new(config.site.clone()), Rc::default());
+        let pool =
+            ConnectionPool::start(clock, &config, LiveSettings::new(config.site.clone()), Rc::default());
         test(Node::new(clock, &config, pool, messages, orders), inbox).await
     });
 }
--- a/src/bin/sillward/ops.rs
+++ b/src/bin/sillward/ops.rs
@@ -120,8 +120,9 @@
         let mut server = http1::Builder::new();
         let server = server.keep_alive(false).max_buf_size(BUFFER);
         // What is no HTTP is answered by hyper, and what is no whole call just ends.
-        let _ = timeout(CALL_TIMEOUT, server.serve_connection(TokioIo::new(tcp::with_nodelay(stream)), service))
-            .await;
+        let _ =
+            timeout(CALL_TIMEOUT, server.serve_connection(TokioIo::new(tcp::with_nodelay(stream)), service))
+                .await;
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -8,10 +8,10 @@
 use crate::LEAST_SUBSET;
 use crate::control::server_table::LISTED_SERVER_BYTES;
 use crate::settings::{self, NameTable, SettingsUpdate, SiteSettings, ZonesConfig};
+use key_shape::{Shape, lacks};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
-use key_shape::{Shape, lacks};
 use std::cell::RefCell;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::PathBuf;
@@ -20,7 +20,7 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-pub use error::{ConfigFileError, ConfigError};
+pub use error::{ConfigError, ConfigFileError};
 
 /// The most bytes of a body that are kept, either way.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
@@ -248,12 +248,13 @@
             seed => u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Seed(seed.into()))?,
         };
         let raw = file.settings.get();
-        let mut site = settings::parse(raw.as_bytes()).map_err(|problem| match &problem {
-            settings::SettingsError::Syntax(error) => {
-                ConfigError::InSettings(Box::new(ConfigError::form(text, text.find(raw).unwrap_or_default(), error)))
-            }
-            _ => problem.into(),
-        })?;
+        let mut site =
+            settings::parse(raw.as_bytes()).map_err(|problem| match &problem {
+                settings::SettingsError::Syntax(error) => ConfigError::InSettings(Box::new(
+                    ConfigError::form(text, text.find(raw).unwrap_or_default(), error),
+                )),
+                _ => problem.into(),
+            })?;
         let zones = match file.zones {
             Some(zones) => Some(zones),
             None => from_env::<ZonesConfig>("SILLWARD_ZONES")?,
@@ -293,7 +294,9 @@
         let server_bytes = if subset.is_some() { LISTED_SERVER_BYTES } else { HELD_SERVER_BYTES };
         let wanted = match file.fleet {
             Some(fleet) => Some(fleet),
-            None if site.peer_messages && file.peer_listen.is_some() => from_env::<FleetFile>("SILLWARD_FLEET")?,
+            None if site.peer_messages && file.peer_listen.is_some() => {
+                from_env::<FleetFile>("SILLWARD_FLEET")?
+            }
             None => None,
         };
         let fleet = wanted.map(|fleet| self::fleet(fleet, &file.name, file.peer_listen, file.peers, &site));
@@ -317,7 +320,8 @@
             // A quarter of the memory; one body at least, or nobody would ever be read.
             body_buffer_kib: (file.limits.memory_mb.saturating_mul(1024) / 4)
                 .clamp(MAX_BUFFERED_BODY_BYTES / 1024, Semaphore::MAX_PERMITS),
-            max_listed_servers: (file.limits.memory_mb.saturating_mul(1 << 20) / 2 / server_bytes).max(SHORT_LIST),
+            max_listed_servers: (file.limits.memory_mb.saturating_mul(1 << 20) / 2 / server_bytes)
+                .max(SHORT_LIST),
             subset,
             known_list: file.known.map(|known| known.get().to_owned()),
             fleet,
--- a/src/control/config/tests.rs
+++ b/src/control/config/tests.rs
@@ -180,7 +180,9 @@
             sorted.into_iter().find_map(|(key, value)| {
                 let path = format!("{path}/{key}");
                 match new.get(key) {
-                    None | Some(Value::Null) if !value.is_null() => Some(ConfigError::Missing(path).to_string()),
+                    None | Some(Value::Null) if !value.is_null() => {
+                        Some(ConfigError::Missing(path).to_string())
+                    }
                     Some(new) => lacks_by_values(value, new, &path),
                     None => None,
                 }
--- a/src/control/discovery/apply.rs
+++ b/src/control/discovery/apply.rs
@@ -1,9 +1,9 @@
 //! Taking in a list: reading it, judging whether it is news, and passing it on to the node, a long one in slices.
 
+use super::chunks::{AT_ONCE, Older, Slices};
+use super::error::BadWatch;
 use super::framing::{ListValue, SHORT_LIMIT};
 use super::incremental::{End, LongList, LongReader};
-use super::error::BadWatch;
-use super::chunks::{AT_ONCE, Older, Slices};
 use super::{Dial, DiscoveryClient};
 use crate::control::log::log;
 use crate::control::updates::{Backend, ListUpdate};
--- a/src/control/discovery/framing.rs
+++ b/src/control/discovery/framing.rs
@@ -6,8 +6,8 @@
 //! the watch is given up.
 
 use super::entry::{EntryReader, Whole};
-use super::incremental::{End, LongList, LongReader};
 use super::error::BadWatch;
+use super::incremental::{End, LongList, LongReader};
 use bytes::{Buf, Bytes, BytesMut};
 use serde_json::Deserializer;
 use serde_json::value::RawValue;
--- a/src/control/discovery/mod.rs
+++ b/src/control/discovery/mod.rs
@@ -2,15 +2,15 @@
 //! a watch, `incremental` takes in those too long to be kept, `entry` reads an entry, `timeouts` says when a watch is broken,
 //! `versions` which lists are news, `chunks` passes on long ones; docs/discovery.md says why so.
 
+mod apply;
+mod chunks;
 mod entry;
+mod error;
 mod framing;
 mod incremental;
-mod error;
-mod timeouts;
-mod chunks;
-mod apply;
 #[cfg(test)]
 mod tests;
+mod timeouts;
 mod versions;
 
 use crate::ListKind;
@@ -18,21 +18,21 @@
 use crate::control::log::log;
 use crate::control::tcp;
 use crate::control::updates::{DiscoveryCommand, ListUpdate};
+use apply::{PIECE, Taken, read_long};
 use bytes::{Bytes, BytesMut};
+use chunks::Slices;
 use entry::EntryReader;
+use error::BadWatch;
+use framing::{Lines, ListValue, SHORT_LIMIT};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
 use hyper::header::HOST;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use framing::{Lines, ListValue, SHORT_LIMIT};
 use incremental::LongReader;
-use error::BadWatch;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use timeouts::{FIRST_PAUSE, LASTED, OVERLONG_PAUSE, SILENCE};
-use chunks::Slices;
 use std::cell::Cell;
 use std::future::{Future, pending, poll_fn};
 use std::io;
@@ -41,7 +41,7 @@
 use std::rc::Rc;
 use std::task::Poll;
 use std::time::Duration;
-use apply::{PIECE, Taken, read_long};
+use timeouts::{FIRST_PAUSE, LASTED, OVERLONG_PAUSE, SILENCE};
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
--- a/src/control/discovery/tests.rs
+++ b/src/control/discovery/tests.rs
@@ -2,9 +2,9 @@
 
 mod long_lists;
 
-use super::framing::{Lines, ListValue};
-use super::error::BadWatch;
 use super::apply::List;
+use super::error::BadWatch;
+use super::framing::{Lines, ListValue};
 use super::*;
 use crate::ServerState;
 use serde_json::Value;
--- a/src/control/discovery/tests/long_lists.rs
+++ b/src/control/discovery/tests/long_lists.rs
@@ -1,8 +1,8 @@
 //! Lists too long to be kept as text, and how they are passed on.
 
 use super::*;
-use crate::control::discovery::incremental::LongList;
 use crate::control::discovery::chunks::SLICE;
+use crate::control::discovery::incremental::LongList;
 use std::collections::BTreeSet;
 
 /// Over the length of a short list, in any form.
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -8,7 +8,7 @@
 pub mod log;
 pub mod peers;
 pub mod process;
-pub mod server_table;
 pub mod saved_file;
+pub mod server_table;
 pub mod tcp;
 pub mod updates;
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -3,17 +3,20 @@
 //! knows.
 
 mod addresses;
+pub mod membership_view;
 mod saved_members;
 #[cfg(test)]
 mod tests;
-pub mod membership_view;
 
 use crate::FleetView;
 use crate::control::config::{Config, FleetConfig, MAX_PEERS};
 use crate::control::log::log;
-use crate::control::process::{Siblings, ProcessState};
+use crate::control::process::{ProcessState, Siblings};
 use addresses::PeerAddresses;
-use hillpick_fleet::{Address, NameError, Certainty, MAX_DATAGRAM_BYTES, Identity, Membership, Name, Output, Settings};
+use hillpick_fleet::{
+    Address, Certainty, Identity, MAX_DATAGRAM_BYTES, Membership, Name, NameError, Output, Settings,
+};
+use membership_view::MembershipView;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use saved_members::SavedMembers;
@@ -24,7 +27,6 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
-use membership_view::MembershipView;
 
 /// The predecessor in an upgrade holds the address until it goes: it is asked for so often.
 const BIND_PAUSE: Duration = Duration::from_millis(50);
@@ -106,7 +108,8 @@
         let advertised = match fleet.advertise {
             Some(address) => Address::Socket(address),
             None => {
-                let number = u16::try_from(settings.node).map_err(|_| MembershipError::Number(settings.node))?;
+                let number =
+                    u16::try_from(settings.node).map_err(|_| MembershipError::Number(settings.node))?;
                 Address::Node(number)
             }
         };
--- a/src/control/peers/tests.rs
+++ b/src/control/peers/tests.rs
@@ -34,7 +34,8 @@
     let (messages, told) = mpsc::channel(64);
     let (state, process) = watch::channel(ProcessState::Active);
     let config = config(node, ANY.parse().expect("an address"), peers, ADVERTISED);
-    let peers = MembershipDriver::new(&config, MembershipView::default(), messages, process, Rc::new(NoSiblings));
+    let peers =
+        MembershipDriver::new(&config, MembershipView::default(), messages, process, Rc::new(NoSiblings));
     let peers = peers.expect("a good configuration").expect("a fleet");
     let socket = peers.bind().await.expect("an address").expect("no predecessor");
     let hears = socket.local_addr().expect("an address");
@@ -87,7 +88,8 @@
         let (messages, _told) = mpsc::channel::<FleetView>(1);
         let (_state, process) = watch::channel(ProcessState::Active);
         let config = config(0, taken, &[], ADVERTISED);
-        let peers = MembershipDriver::new(&config, MembershipView::default(), messages, process, Rc::new(NoSiblings));
+        let peers =
+            MembershipDriver::new(&config, MembershipView::default(), messages, process, Rc::new(NoSiblings));
         let problem = peers.expect("good").expect("a fleet").bind().await.expect_err("taken");
         let text = problem.to_string();
         assert!(text.contains(&taken.to_string()) && text.contains("change peer_listen"), "{text}");
--- a/src/control/server_table/mod.rs
+++ b/src/control/server_table/mod.rs
@@ -10,7 +10,7 @@
 mod tests;
 
 use crate::control::updates::{Backend, ListUpdate};
-use crate::{SubsetRing, LEAST_SUBSET, ListKind, RingLayout, ServerId, ServerState};
+use crate::{LEAST_SUBSET, ListKind, RingLayout, ServerId, ServerState, SubsetRing};
 use compact_server::Listed;
 use ring::Ring;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/policy/fleet_view.rs
+++ b/src/policy/fleet_view.rs
@@ -37,11 +37,13 @@
         let with = |tier: Option<FleetView>| {
             let mut node = Balancer::new(Settings { nodes: 10, node: 7, ..Settings::default() }, 1);
             let mut actions = Vec::new();
-            tier.into_iter().for_each(|t| node.handle(Duration::from_secs(1), Event::FleetView(t), &mut actions));
+            tier.into_iter()
+                .for_each(|t| node.handle(Duration::from_secs(1), Event::FleetView(t), &mut actions));
             assert_eq!(actions, []);
             (node.nodes(), node.place())
         };
-        let tier = |live, rank, agreed, could_be_alive| Some(FleetView { live, rank, agreed, could_be_alive });
+        let tier =
+            |live, rank, agreed, could_be_alive| Some(FleetView { live, rank, agreed, could_be_alive });
         assert_eq!(with(None), (10, (7, 10)));
         assert_eq!(with(tier(5, 2, true, 5)), (5, (2, 5)));
         assert_eq!(with(tier(5, 2, false, 5)), (10, (7, 10)));
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,17 +1,17 @@
 //! Every decision of hillpick, one file a concern. Types, events and actions are in `src/interface.rs`; what
 //! a node remembers of servers and requests in `src/state.rs`; departures from the paper in `README.md`.
 
-mod slow_start;
 mod constants;
+mod dispatch;
+mod fleet_view;
 mod health;
-mod request_value;
-mod server_list;
-mod selection;
 mod request;
+mod request_value;
 mod retry;
-mod dispatch;
+mod selection;
+mod server_list;
+mod slow_start;
 pub(crate) mod subset;
-mod fleet_view;
 mod zones;
 
 use crate::interface::*;
@@ -28,7 +28,8 @@
         let mut node = Balancer::empty(settings, Pcg32::seed_from_u64(seed));
         (node.answer_time, node.median) = (aim.as_secs_f64() / 2.0, aim / 4);
         (node.sends, node.idle_signs, node.busy) = (1.0, 1.0, 0.5);
-        (node.in_time_by_load, node.taken, node.retry_tokens) = (vec![0.25; LOAD_LEVELS], 2.0, 1.0 / RETRY_BUDGET_RATIO);
+        (node.in_time_by_load, node.taken, node.retry_tokens) =
+            (vec![0.25; LOAD_LEVELS], 2.0, 1.0 / RETRY_BUDGET_RATIO);
         node
     }
 
@@ -56,7 +57,9 @@
             Event::Timer { token: TICK } => self.on_tick(actions),
             Event::Timer { token } => self.on_request_timer(RequestId(token), actions),
             Event::ProbeEnded(end) => self.on_probed(end, actions),
-            Event::Settings { settings, previous_classes: classes, previous_tenants: tenants } => self.resettle(*settings, &classes, &tenants),
+            Event::Settings { settings, previous_classes: classes, previous_tenants: tenants } => {
+                self.resettle(*settings, &classes, &tenants)
+            }
             Event::FleetView(tier) => self.tier = Some(tier),
             Event::Evacuate { zone, duration: lasts } => self.on_evacuate(zone, lasts, actions),
             Event::PeerMessage { .. } => {}
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -14,7 +14,11 @@
         let terms = &all.class;
         // While it arrives its time does not run, but it waits no longer for a server than another would.
         let arriving = new.body_streaming.then(|| new.clone());
-        let until = if new.body_streaming { self.now + terms.latency_target } else { self.until(&new, present, terms) };
+        let until = if new.body_streaming {
+            self.now + terms.latency_target
+        } else {
+            self.until(&new, present, terms)
+        };
         let weight = self.weigh(new.cost);
         self.arrived.add(self.now, self.rate_window(), weight);
         self.retry_tokens = (self.retry_tokens + RETRY_BUDGET_RATIO).min(2.0 / RETRY_BUDGET_RATIO);
@@ -40,7 +44,11 @@
         // The timer comes a tick late at most, and the answer must be there before the client leaves.
         let deadline = self.now + new.remaining.saturating_sub(2 * self.settings.timer_resolution);
         let stretch = new.cost.unwrap_or_default().mul_f64(terms.target_stretch.clamp(0.0, 1e3));
-        let aim = (self.now + terms.latency_target + stretch).saturating_sub(self.spent(new, class, terms.deadline));
+        let aim = (self.now + terms.latency_target + stretch).saturating_sub(self.spent(
+            new,
+            class,
+            terms.deadline,
+        ));
         if terms.late_value > 0.0 { deadline } else { deadline.min(aim) }
     }
 
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,6 +1,6 @@
 //! The pick: Join-Up-To(m), the soft gates on crowded servers, and the probes that tell of idle ones.
 
-use super::constants::{LOAD_LEVELS, COST_BUDGET, SMOOTH};
+use super::constants::{COST_BUDGET, LOAD_LEVELS, SMOOTH};
 use crate::interface::*;
 use crate::state::{Balancer, Server};
 use std::time::Duration;
@@ -48,8 +48,8 @@
     pub(super) fn fits(&self, server: &Server, chance: f64) -> Option<f64> {
         let crowd = self.crowd(server);
         let level = crowd.round() as usize;
-        let open =
-            chance <= self.taken_at(server) && (level == 0 || self.in_time_by_load[level.min(LOAD_LEVELS - 1)] >= 0.75);
+        let open = chance <= self.taken_at(server)
+            && (level == 0 || self.in_time_by_load[level.min(LOAD_LEVELS - 1)] >= 0.75);
         // A few are tried in any case, or else nothing would tell of better times.
         (open || server.out == 0 && chance < SMOOTH / 2.0).then_some(crowd)
     }
@@ -131,7 +131,8 @@
         }
         self.held.push(id);
         // A server that answers a probe later than this is no place to send to.
-        let patience = Duration::from_secs_f64(self.answer_time / 16.0).max(4 * self.settings.timer_resolution);
+        let patience =
+            Duration::from_secs_f64(self.answer_time / 16.0).max(4 * self.settings.timer_resolution);
         actions.push(Action::SetTimer { after: patience, token: id.0 });
         true
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -53,7 +53,8 @@
     /// What a warm server carries for this node a second, of the part that goes to its zone; if none is warm,
     /// an even part of what arrives.
     pub(super) fn carried_by_one(&self, zone: Option<u8>) -> f64 {
-        let near: Vec<_> = self.ring_in(zone).take(self.candidate_limit()).map(|s| self.warmth(s) >= 1.0).collect();
+        let near: Vec<_> =
+            self.ring_in(zone).take(self.candidate_limit()).map(|s| self.warmth(s) >= 1.0).collect();
         let warm = near.iter().filter(|warm| **warm).count();
         let (total, by) = if warm > 0 { (&self.carried, warm) } else { (&self.arrived, near.len().max(1)) };
         total.per_s(self.now, self.rate_window()) * self.share_of(zone) / by as f64
--- a/src/policy/zones.rs
+++ b/src/policy/zones.rs
@@ -181,12 +181,18 @@
                 _ if it.evacuated.is_some() && working == 0 => ZoneState::EvacuationSuspended,
                 _ if it.evacuated.is_some() => ZoneState::Evacuated,
                 // Where no zone works, none is left.
-                ZoneState::Healthy | ZoneState::FailingBack | ZoneState::FailedOver if it.ill > LEFT && working > 0 => {
+                ZoneState::Healthy | ZoneState::FailingBack | ZoneState::FailedOver
+                    if it.ill > LEFT && working > 0 =>
+                {
                     ZoneState::FailedOver
                 }
                 ZoneState::FailedOver if it.ill >= SOUND => ZoneState::FailedOver,
-                ZoneState::FailedOver | ZoneState::Evacuated | ZoneState::EvacuationSuspended => ZoneState::FailingBack,
-                ZoneState::FailingBack if now < it.since + back && it.share < largest => ZoneState::FailingBack,
+                ZoneState::FailedOver | ZoneState::Evacuated | ZoneState::EvacuationSuspended => {
+                    ZoneState::FailingBack
+                }
+                ZoneState::FailingBack if now < it.since + back && it.share < largest => {
+                    ZoneState::FailingBack
+                }
                 _ => ZoneState::Healthy,
             };
             if next == it.standing {
--- a/src/settings/text.rs
+++ b/src/settings/text.rs
@@ -1,7 +1,7 @@
 //! The settings text as it is written, in the wire's words, and its reading. Classes and tenants, of which there may be
 //! many, are taken in one at a time.
 
-use super::{ReportColumn, NameTable, SettingsError, SiteSettings, millis};
+use super::{NameTable, ReportColumn, SettingsError, SiteSettings, millis};
 use crate::interface::*;
 use serde::de::{SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
--- a/src/state.rs
+++ b/src/state.rs
@@ -323,7 +323,10 @@
 
 /// Whether a class may be sent again within a cell alone.
 fn keyed_in_cells(settings: &Settings) -> bool {
-    settings.classes.iter().any(|class| matches!(class.retry_safety, RetrySafety::Keyed { scope: DedupScope::Cell, .. }))
+    settings
+        .classes
+        .iter()
+        .any(|class| matches!(class.retry_safety, RetrySafety::Keyed { scope: DedupScope::Cell, .. }))
 }
 
 /// Where each of `count` earlier places is now, by where each of the present ones was before.
--- a/tests/bodies/mod.rs
+++ b/tests/bodies/mod.rs
@@ -196,8 +196,10 @@
     let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     for (sent, status) in [(9, 408), (200_000, 503)] {
         let mut client = node.client();
-        let head =
-            format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: 300000\r\n\r\n", common_headers(LONG));
+        let head = format!(
+            "POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: 300000\r\n\r\n",
+            common_headers(LONG)
+        );
         client.write(&[head.as_bytes(), &bytes(sent)].concat());
         assert_eq!(client.answer().expect("an answer").status(), status, "{sent} bytes");
         assert!(client.is_closed());
@@ -211,8 +213,10 @@
     // Sending it takes longer than an answer may; no pause is long.
     let (node, _watch, _discovery) = serving_node(&settings(3000, ""), &[&backend]);
     let mut client = node.client();
-    let head =
-        format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: 700000\r\n\r\n", common_headers(3000));
+    let head = format!(
+        "POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: 700000\r\n\r\n",
+        common_headers(3000)
+    );
     client.write(head.as_bytes());
     for piece in bytes(700_000).chunks(20_000) {
         client.write(piece);
@@ -227,10 +231,14 @@
     let backend = Backend::start(|message| ok(&message.start_line));
     let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let mut client = node.client();
-    let head =
-        |path: &str| format!("POST {path} HTTP/1.1\r\nHost: a\r\n{}Content-Length: 5\r\n", common_headers(LONG));
+    let head = |path: &str| {
+        format!("POST {path} HTTP/1.1\r\nHost: a\r\n{}Content-Length: 5\r\n", common_headers(LONG))
+    };
     client.write(format!("{}Expect: 100-continue\r\n\r\n", head("/correct/waits")).as_bytes());
-    assert_eq!((client.read_line(), client.read_line()), ("HTTP/1.1 100 Continue\r\n".to_owned(), "\r\n".to_owned()));
+    assert_eq!(
+        (client.read_line(), client.read_line()),
+        ("HTTP/1.1 100 Continue\r\n".to_owned(), "\r\n".to_owned())
+    );
     client.write(b"sheet");
     assert_eq!(client.answer().expect("an answer").body, b"POST /correct/waits HTTP/1.1");
     // Both at once, the second a byte at a time.
@@ -253,7 +261,8 @@
         "Transfer-Encoding: chunked, gzip\r\n",
     ] {
         let mut client = node.client();
-        let head = format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}{lengths}\r\nsheet", common_headers(LONG));
+        let head =
+            format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}{lengths}\r\nsheet", common_headers(LONG));
         client.write(head.as_bytes());
         let status = client.answer().expect("an answer").status();
         assert!((400..500).contains(&status), "{lengths}: {status}");
--- a/tests/class_order.rs
+++ b/tests/class_order.rs
@@ -3,9 +3,9 @@
 mod module_harness;
 
 use hillpick::*;
+use module_harness::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use module_harness::*;
 
 const OUTCOMES: [Outcome; 6] =
     [Outcome::Served, Outcome::Error, Outcome::Rejected, Outcome::TimedOut, Outcome::Reset, Outcome::NotSent];
@@ -51,7 +51,11 @@
             let settings = varied(then_classes, then_tenants, base.clone());
             let (classes, tenants) = (moved(by_class, then_classes), moved(by_tenant, then_tenants));
             world.settings = settings.clone();
-            world.tell(Event::Settings { settings: Box::new(settings), previous_classes: classes, previous_tenants: tenants });
+            world.tell(Event::Settings {
+                settings: Box::new(settings),
+                previous_classes: classes,
+                previous_tenants: tenants,
+            });
             (by_class, by_tenant) = (then_classes, then_tenants);
         }
         let (class, tenant) = (place(by_class, *class), place(by_tenant, *tenant));
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -4,9 +4,9 @@
 mod module_harness;
 
 use hillpick::*;
+use module_harness::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use module_harness::*;
 
 fn sent_to(actions: &[Action]) -> Vec<u64> {
     let send = |action: &Action| match action {
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -230,7 +230,9 @@
     pub fn send_list_until(&self, line: &str, shows: impl Fn() -> bool, what: &str) -> Watch {
         let mut watch = self.next_call();
         let told = |watch: &Watch| {
-            watch.try_with(|stream| stream.write_all(OPEN.as_bytes()).and_then(|()| write_chunk(stream, line)));
+            watch.try_with(|stream| {
+                stream.write_all(OPEN.as_bytes()).and_then(|()| write_chunk(stream, line))
+            });
             watch.start_heartbeat();
         };
         told(&watch);
@@ -252,7 +254,9 @@
         spawn(move || {
             let mut open = Vec::new();
             for watch in self.calls {
-                watch.try_with(|stream| stream.write_all(OPEN.as_bytes()).and_then(|()| write_chunk(stream, &line)));
+                watch.try_with(|stream| {
+                    stream.write_all(OPEN.as_bytes()).and_then(|()| write_chunk(stream, &line))
+                });
                 watch.start_heartbeat();
                 open.push(watch);
             }
--- a/tests/members/mod.rs
+++ b/tests/members/mod.rs
@@ -48,7 +48,8 @@
 }
 
 fn view(node: &Node) -> String {
-    String::from_utf8(Client::connect(node.ops_address()).request("GET /members", "", b"").body).expect("text")
+    String::from_utf8(Client::connect(node.ops_address()).request("GET /members", "", b"").body)
+        .expect("text")
 }
 
 fn holds(node: &Node, members: usize) -> bool {
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -4,8 +4,8 @@
 mod module_harness;
 
 use hillpick::*;
-use std::time::Duration;
 use module_harness::{entry, ms, probe_settings};
+use std::time::Duration;
 
 /// Resident memory in KiB, as Linux tells it.
 fn resident() -> Option<u64> {
--- a/tests/module_harness/mod.rs
+++ b/tests/module_harness/mod.rs
@@ -38,7 +38,13 @@
 /// Three nodes; class 0 safe, 1 unsafe, 2 keyed in a zone, 3 keyed in a cell, 4 keyed everywhere.
 pub fn settings() -> Settings {
     let keyed = |scope| RetrySafety::Keyed { scope, window: ms(300) };
-    let repeats = [RetrySafety::Idempotent, RetrySafety::NonIdempotent, keyed(DedupScope::Zone), keyed(DedupScope::Cell), keyed(DedupScope::All)];
+    let repeats = [
+        RetrySafety::Idempotent,
+        RetrySafety::NonIdempotent,
+        keyed(DedupScope::Zone),
+        keyed(DedupScope::Cell),
+        keyed(DedupScope::All),
+    ];
     let mut settings = Settings { nodes: 3, classes: repeats.map(class).to_vec(), ..Settings::default() };
     settings.limits.cancel = true;
     settings.limits.hedging = true;
@@ -134,7 +140,8 @@
         self.settings.classes = classes.iter().map(of_before).collect();
         self.settings.limits.max_attempts = max_attempts;
         let settings = Box::new(self.settings.clone());
-        let event = Event::Settings { settings, previous_classes: classes.to_vec(), previous_tenants: Vec::new() };
+        let event =
+            Event::Settings { settings, previous_classes: classes.to_vec(), previous_tenants: Vec::new() };
         assert_eq!(self.tell(event), []);
     }
 
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,15 +1,15 @@
 //! The real node over loopback sockets: each test is one failure, seen by a peer.
 
 mod bodies;
-mod races;
+mod harness;
 mod lists;
 mod members;
+mod node_zones;
 mod operations;
+mod races;
 mod restarts;
-mod harness;
-mod unsolicited;
 mod subset_node;
-mod node_zones;
+mod unsolicited;
 
 use harness::*;
 use std::net::TcpListener;
@@ -242,7 +242,11 @@
 fn a_broken_watch_is_taken_up_where_it_broke() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let (node, mut watch, discovery) = serving_node(&settings(LONG, ""), &[&old]);
-    assert!(watch.start_line.contains("stream=1&index=7 "), "it starts from the known list: {}", watch.start_line);
+    assert!(
+        watch.start_line.contains("stream=1&index=7 "),
+        "it starts from the known list: {}",
+        watch.start_line
+    );
     watch.send_line(&list(12, false, &[]));
     node.client().request_read();
     drop(watch);
@@ -458,7 +462,10 @@
     let (node, _watch, _discovery) = serving_node_with(&settings(LONG, ""), &backends.each_ref(), 53, "");
     let mut busy = [node.client(), node.client()];
     busy.iter_mut().for_each(Client::send_correct);
-    wait_until(|| backends.iter().map(Backend::request_count).sum::<usize>() == 2, "both requests at backends");
+    wait_until(
+        || backends.iter().map(Backend::request_count).sum::<usize>() == 2,
+        "both requests at backends",
+    );
     // The third is about to send a body, as it has been told to.
     let mut third = node.client();
     third.send(
@@ -481,7 +488,8 @@
 #[test]
 fn a_node_out_of_descriptors_serves_on_when_some_are_free_again() {
     let backend = Backend::start(|_| ok(""));
-    let (node, _watch, _discovery) = serving_node_with(&settings(LONG, ""), &[&backend], 1024, "ulimit -n 30; ");
+    let (node, _watch, _discovery) =
+        serving_node_with(&settings(LONG, ""), &[&backend], 1024, "ulimit -n 30; ");
     let crowd: Vec<Client> = (0..60).map(|_| node.client()).collect();
     node.wait_for_log("cannot accept");
     drop(crowd);
--- a/tests/node_zones/mod.rs
+++ b/tests/node_zones/mod.rs
@@ -50,7 +50,10 @@
     let (status, zones) = call(&node, "POST /zones/a/evacuate?for_s=600");
     assert!(status == 200 && zones.contains(r#""standing":"evacuated""#), "{zones}");
     node.wait_for_log("Evacuated after Sound");
-    wait_until(|| served(&node) == "far" && served(&node) == "far" && served(&node) == "far", "the other zone");
+    wait_until(
+        || served(&node) == "far" && served(&node) == "far" && served(&node) == "far",
+        "the other zone",
+    );
     assert_eq!(call(&node, "POST /zones/b/evacuate").0, 409, "the last zone that works");
     // New settings change nothing of it.
     let again = configured(discovery.address, ZONES);
--- a/tests/operations/mod.rs
+++ b/tests/operations/mod.rs
@@ -133,7 +133,10 @@
     let backend = Backend::start(|_| ok("fine"));
     let (mut node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let head = |length: usize| {
-        format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: {length}\r\n\r\n", common_headers(LONG))
+        format!(
+            "POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: {length}\r\n\r\n",
+            common_headers(LONG)
+        )
     };
     let over = Arc::new(AtomicBool::new(false));
     // Both go on sending for as long as they may: one kept whole, one that has begun to pass through.
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -3,9 +3,9 @@
 mod module_harness;
 
 use hillpick::*;
+use module_harness::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use module_harness::*;
 
 /// Work of three requests in four, and of the fourth, at a server that has nothing else to do.
 const SHORT: Duration = Duration::from_millis(20);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -3,10 +3,10 @@
 mod module_harness;
 
 use hillpick::*;
+use module_harness::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use std::time::Duration;
-use module_harness::*;
 
 /// One step of a history. The numbers choose among what is there at that point.
 #[derive(Clone, Debug)]
--- a/tests/races/floods.rs
+++ b/tests/races/floods.rs
@@ -34,7 +34,10 @@
 }
 
 fn half_body(stream: &mut TcpStream) -> bool {
-    let head = format!("POST /correct/1f HTTP/1.1\r\nHost: a\r\n{}Content-Length: 9\r\n\r\n", common_headers(20_000));
+    let head = format!(
+        "POST /correct/1f HTTP/1.1\r\nHost: a\r\n{}Content-Length: 9\r\n\r\n",
+        common_headers(20_000)
+    );
     let _ = stream.write_all(&[head.as_bytes(), b"half"].concat());
     is_told(stream)
 }
@@ -47,8 +50,10 @@
 
 /// A body that is too long, sent for as long as the node reads.
 fn too_long(stream: &mut TcpStream) -> bool {
-    let head =
-        format!("POST /correct/1f HTTP/1.1\r\nHost: a\r\n{}Content-Length: 60000000\r\n\r\n", common_headers(20_000));
+    let head = format!(
+        "POST /correct/1f HTTP/1.1\r\nHost: a\r\n{}Content-Length: 60000000\r\n\r\n",
+        common_headers(20_000)
+    );
     let mut sent = stream.write_all(head.as_bytes());
     for _ in 0..60_000_000 / (64 << 10) {
         if sent.is_err() {
@@ -95,13 +100,12 @@
 
 /// This crowd, in so many threads with so many connections each one after the other, and good clients meanwhile.
 fn flood(name: &str, act: Act, threads: usize, each: usize) {
-    let backends = [(); 3].map(|()| {
-        Backend::start(
-            |message| {
+    let backends =
+        [(); 3].map(|()| {
+            Backend::start(|message| {
                 if message.start_line.contains("/long") { ok(&"x".repeat(LONG)) } else { ok("good") }
-            },
-        )
-    });
+            })
+        });
     // Good clients ask as fast as they are answered: their tenant may.
     let plenty = settings(20_000, "").replace(r#""AllowancePerS":1000,"#, r#""AllowancePerS":1000000,"#);
     let (node, _watch, _discovery) =
--- a/tests/restarts/mod.rs
+++ b/tests/restarts/mod.rs
@@ -91,7 +91,9 @@
 #[test]
 fn storms_of_clients_that_give_up_leave_nothing_behind() {
     let backends = [0, 1].map(|_| {
-        Backend::start(|message| if message.start_line.contains("/correct/") { Reply::Silence } else { ok("") })
+        Backend::start(
+            |message| if message.start_line.contains("/correct/") { Reply::Silence } else { ok("") },
+        )
     });
     let (node, _watch, _discovery) = serving_node(&settings(500_000, ""), &backends.each_ref());
     let all = || backends.iter().map(Backend::request_count).sum::<usize>();
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -5,11 +5,11 @@
 use hillpick::control::server_table::ServerTable;
 use hillpick::control::updates::{Backend, ListUpdate};
 use hillpick::*;
+use module_harness::{entry, ms, piggyback_settings, probe_settings, settings};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::net::SocketAddr;
 use std::time::Duration;
-use module_harness::{piggyback_settings, entry, ms, probe_settings, settings};
 
 const LISTED: u64 = 2_000;
 const HELD: usize = 128;
@@ -126,8 +126,16 @@
                 Due::Attempt { id, attempt, server, sent } => {
                     let outcome = self.outcome(server);
                     let (elapsed, finished) = (self.now - sent, outcome == Outcome::Served);
-                    let end =
-                        AttemptEnd { id, attempt, server, outcome, elapsed, finished, report, body_consumed: false };
+                    let end = AttemptEnd {
+                        id,
+                        attempt,
+                        server,
+                        outcome,
+                        elapsed,
+                        finished,
+                        report,
+                        body_consumed: false,
+                    };
                     self.tell(Event::AttemptEnded(end));
                 }
             }
--- a/tests/subset_node/costs.rs
+++ b/tests/subset_node/costs.rs
@@ -1,7 +1,7 @@
 //! What a node costs at the size that is coming: 52,000 servers, 110,000 tenants and 22,000 routes together.
 
-use crate::lists::large::{resource_use, servers, print_latencies, latencies_during};
 use crate::harness::*;
+use crate::lists::large::{latencies_during, print_latencies, resource_use, servers};
 use std::fmt::Write;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -93,7 +93,10 @@
         watch.send_line(&list(version, whole, entries));
         version += 1;
     };
-    print_latencies("with whole lists without a pause", &latencies_during(&node, || (0..rounds).for_each(|_| tell(&all, true))));
+    print_latencies(
+        "with whole lists without a pause",
+        &latencies_during(&node, || (0..rounds).for_each(|_| tell(&all, true))),
+    );
     println!("  processor {:.3} s for a list", (resource_use(&node).0 - before) / f64::from(rounds));
     let apart = latencies_during(&node, || {
         for _ in 0..8 {
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -4,10 +4,10 @@
 mod module_harness;
 
 use hillpick::*;
+use module_harness::{Harness, entry, ms, settings};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use module_harness::{Harness, entry, ms, settings};
 
 /// What comes of an attempt, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
