--- a/crates/fleet/benches/size/main.rs
+++ b/crates/fleet/benches/size/main.rs
@@ -1,11 +1,12 @@
-//! What one member costs its node, by the size of the fleet: a line for each size. The other members are played.
+//! The costs of membership for one node by the size of the fleet, one line for each size. The other members
+//! are stubs.
 //!
 //!     cargo bench -p hillpick-fleet --bench size
 
 #[path = "../../tests/peers_stub/mod.rs"]
 mod peers_stub;
 
-use peers_stub::{Costs, Stub};
+use peers_stub::{Costs, PeersStub};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 use std::time::Instant;
@@ -13,82 +14,85 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Nodes of the fleets that are measured, the last two of which are twice the one before, and what the node's bound is.
+/// The sizes of the measured fleets. The last two are the planned size and twice that, the limit of members
+/// of a node.
 const SIZES: [usize; 6] = [300, 600, 1_200, 2_400, 4_900, 9_800];
-/// Virtual seconds of the quiet and the ordinary span.
+/// The virtual time of the span without changes and of the one with an ordinary day's restarts.
 const SPAN_S: u32 = 600;
-/// Restarts and failures of an ordinary day among 4,900 nodes, in each second and for each node.
+/// The restarts and failures of an ordinary day among 4,900 nodes, by second and node.
 const RESTARTS_PER_NODE_S: f64 = (4_400.0 + 64.0) / 86_400.0 / 4_900.0;
-/// A piece of news comes to a node as often as each passes it on.
-const TOLD: usize = 10;
-/// A tenth of the nodes restarts within so many seconds.
+/// How often a node receives each update: as often as each member passes it on.
+const UPDATE_COPIES: usize = 10;
+/// The time within which a tenth of the nodes restarts in the storm.
 const STORM_S: u32 = 10;
-/// Gossip in a second that carries news, as a node sends it: two members, four times.
+/// The gossip messages in a second, as many as a node sends: to two members, four times.
 const GOSSIP_PER_S: usize = 8;
-/// Calls whose mean is taken.
+/// The number of calls whose mean time is taken.
 const CALLS: u32 = 200;
 
-fn mean_us(calls: u32, mut what: impl FnMut()) -> f64 {
-    let begun = Instant::now();
-    (0..calls).for_each(|_| what());
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(calls)
+/// The mean time of a call, in µs.
+fn mean_us(calls: u32, mut call: impl FnMut()) -> f64 {
+    let started = Instant::now();
+    (0..calls).for_each(|_| call());
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(calls)
 }
 
-/// Processor time of a second, as a part of one core in percent.
+/// The processor time as a share of one core, in percent.
 fn core_percent(costs: &Costs, seconds: u32) -> f64 {
-    (costs.tick.time + costs.hear.time).as_secs_f64() * 100.0 / f64::from(seconds)
+    (costs.tick.time + costs.receive.time).as_secs_f64() * 100.0 / f64::from(seconds)
 }
 
-/// Restarts spread evenly over a span, each told by as many members as a piece of news comes from.
-fn restarts(stub: &mut Stub, seconds: u32, per_s: f64) -> Costs {
-    let mut owed = 0.0;
-    let mut waiting = std::collections::VecDeque::new();
+/// Spreads restarts evenly over a span, and delivers the update of each [`UPDATE_COPIES`] times.
+fn restarts(stub: &mut PeersStub, seconds: u32, per_s: f64) -> Costs {
+    let mut due = 0.0;
+    let mut queued = std::collections::VecDeque::new();
     stub.measure(|stub| {
         stub.run(f64::from(seconds), |stub, _| {
-            owed += per_s;
-            while owed >= 1.0 {
-                owed -= 1.0;
-                let number = stub.any();
-                let news = stub.restart(number);
-                (0..TOLD).for_each(|_| waiting.push_back(news.clone()));
+            due += per_s;
+            while due >= 1.0 {
+                due -= 1.0;
+                let peer = stub.random_peer();
+                let update = stub.restart(peer);
+                (0..UPDATE_COPIES).for_each(|_| queued.push_back(update.clone()));
             }
             for _ in 0..GOSSIP_PER_S {
-                if waiting.is_empty() {
+                if queued.is_empty() {
                     break;
                 }
-                let from = stub.any();
-                let news: Vec<_> = waiting.iter().take(8).cloned().collect();
-                let told = stub.gossip(from, &news);
-                waiting.drain(..told);
+                let from = stub.random_peer();
+                let updates: Vec<_> = queued.iter().take(8).cloned().collect();
+                let sent = stub.gossip(from, &updates);
+                queued.drain(..sent);
             }
         });
     })
 }
 
-fn line(nodes: usize) {
-    let others = nodes - 1;
+/// Measures one size and prints its line.
+fn measure_size(nodes: usize) {
+    let peers = nodes - 1;
     let region = Region::new(ALLOCATOR);
-    let mut stub = Stub::settled(others);
+    let mut stub = PeersStub::settled(peers);
     let now = stub.now;
 
     let quiet = stub.measure(|stub| stub.run(f64::from(SPAN_S), |_, _| {}));
     let bare = stub.measure(|stub| {
         for _ in 0..CALLS {
-            let from = stub.any();
-            stub.tell(from, &[]);
+            let from = stub.random_peer();
+            stub.probe(from, &[]);
         }
     });
     let full = stub.measure(|stub| {
         for _ in 0..CALLS {
-            let from = stub.any();
-            let numbers = [(); 8].map(|()| stub.any());
-            let news = numbers.map(|number| stub.alive(number));
-            stub.gossip(from, &news);
+            let from = stub.random_peer();
+            let peers = [(); 8].map(|()| stub.random_peer());
+            let updates = peers.map(|peer| stub.alive(peer));
+            stub.gossip(from, &updates);
         }
     });
     let day = restarts(&mut stub, SPAN_S, RESTARTS_PER_NODE_S * nodes as f64);
     let storm = restarts(&mut stub, STORM_S, nodes as f64 / 10.0 / f64::from(STORM_S));
-    let tell_us = mean_us(CALLS, || {
+    let agreement_us = mean_us(CALLS, || {
         std::hint::black_box((stub.core.agreement(now).members, stub.core.rank()));
     });
     let list_us = mean_us(CALLS, || {
@@ -100,12 +104,12 @@
     let bytes = (after.bytes_deallocated - before.bytes_deallocated) as f64;
     println!(
         "| {nodes} | {:.0} | {:.2} | {:.1} | {:.1} | {:.1} | {:.1} | {:.0} | {:.0} | {:.0} | {:.0} | {:.3} | {:.3} | {:.3} |",
-        bytes / others as f64,
+        bytes / peers as f64,
         bytes / 1e6,
         quiet.tick.mean_us(),
-        bare.hear.mean_us(),
-        full.hear.mean_us(),
-        tell_us,
+        bare.receive.mean_us(),
+        full.receive.mean_us(),
+        agreement_us,
         list_us,
         quiet.sent_bytes as f64 / f64::from(SPAN_S),
         day.sent_bytes as f64 / f64::from(SPAN_S),
@@ -122,7 +126,7 @@
          bytes/s out: quiet | day | storm | % of a core: quiet | day | storm |"
     );
     println!("|{}", " --- |".repeat(14));
-    // What `cargo test` and CI run is the smallest size alone: that it runs at all.
+    // `cargo test` and CI only check that the benchmark runs, at the smallest size.
     let sizes = if std::env::args().any(|arg| arg == "--bench") { &SIZES[..] } else { &SIZES[..1] };
-    sizes.iter().for_each(|nodes| line(*nodes));
+    sizes.iter().for_each(|nodes| measure_size(*nodes));
 }
--- a/crates/fleet/src/agreement/tests.rs
+++ b/crates/fleet/src/agreement/tests.rs
@@ -1,4 +1,4 @@
-//! When members agree, and what a digest is of.
+//! When the members' views count as agreed, and what a view's digest depends on.
 
 use super::*;
 use crate::identity::Address;
@@ -14,35 +14,35 @@
 }
 
 #[test]
-fn nearly_all_for_some_time_is_agreed() {
-    let mut views = Views::default();
-    (0..9).for_each(|n| views.hear(&name(n), 5, at(0)));
-    assert_eq!(views.judge((10, 5), 10, PERIOD, at(0)).certainty, Certainty::Diverging);
-    let agreed = views.judge((10, 5), 10, PERIOD, at(3));
+fn a_view_is_agreed_once_nearly_all_have_shared_it_for_some_time() {
+    let mut views = PeerViews::default();
+    (0..9).for_each(|n| views.record(&name(n), 5, at(0)));
+    assert_eq!(views.assess((10, 5), 10, PERIOD, at(0)).certainty, Certainty::Diverging);
+    let agreed = views.assess((10, 5), 10, PERIOD, at(3));
     assert_eq!((agreed.certainty, agreed.could_be_alive, agreed.since), (Certainty::Agreed, 10, at(3)));
-    // Two of nine with another view are too many, and what was heard long ago counts no more.
-    views.hear(&name(0), 6, at(3));
-    assert_eq!(views.judge((10, 5), 10, PERIOD, at(3)).agreeing_share, 8.0 / 9.0);
-    assert_eq!(views.judge((10, 5), 10, PERIOD, at(4)).certainty, Certainty::Diverging);
-    let alone = views.judge((10, 5), 10, PERIOD, at(20));
+    // One different view of nine is too many, and digests older than ten periods no longer count.
+    views.record(&name(0), 6, at(3));
+    assert_eq!(views.assess((10, 5), 10, PERIOD, at(3)).agreeing_share, 8.0 / 9.0);
+    assert_eq!(views.assess((10, 5), 10, PERIOD, at(4)).certainty, Certainty::Diverging);
+    let alone = views.assess((10, 5), 10, PERIOD, at(20));
     assert_eq!((alone.peers_heard, alone.certainty, alone.could_be_alive), (0, Certainty::Diverging, 10));
 }
 
-/// Half is a minority on both sides: neither may take the other half for dead.
+/// After an even split both halves are minorities, so that neither takes the other half for dead.
 #[test]
-fn half_of_the_tier_is_a_minority_whatever_they_agree_on() {
-    let mut views = Views::default();
-    (0..4).for_each(|n| views.hear(&name(n), 5, at(0)));
-    views.judge((5, 5), 10, PERIOD, at(0));
-    let half = views.judge((5, 5), 10, PERIOD, at(9));
+fn half_of_the_fleet_is_a_minority_even_if_its_views_agree() {
+    let mut views = PeerViews::default();
+    (0..4).for_each(|n| views.record(&name(n), 5, at(0)));
+    views.assess((5, 5), 10, PERIOD, at(0));
+    let half = views.assess((5, 5), 10, PERIOD, at(9));
     assert_eq!((half.certainty, half.could_be_alive, half.agreeing_share), (Certainty::Minority, 10, 1.0));
-    views.judge((6, 5), 10, PERIOD, at(9));
-    assert_eq!(views.judge((6, 5), 10, PERIOD, at(10)).certainty, Certainty::Agreed);
-    assert_eq!(Views::default().judge((1, 5), 1, PERIOD, at(0)).certainty, Certainty::Agreed);
+    views.assess((6, 5), 10, PERIOD, at(9));
+    assert_eq!(views.assess((6, 5), 10, PERIOD, at(10)).certainty, Certainty::Agreed);
+    assert_eq!(PeerViews::default().assess((1, 5), 1, PERIOD, at(0)).certainty, Certainty::Agreed);
 }
 
 #[test]
-fn digests_are_of_lives_and_not_of_an_order() {
+fn a_digest_depends_on_each_start_of_a_member_and_not_on_their_order() {
     let member = |number: usize, started_ms: u64| Identity {
         name: name(number),
         started_ms,
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -1,50 +1,54 @@
-//! A node's own health, after the published idea of Lifeguard (Dadgar, Phillips, Currey 2017): a node that was stopped or
-//! starved first doubts itself, and gives others longer, before it takes them for dead.
+//! A node's local health, after Lifeguard's local health multiplier (Dadgar, Phillips, Currey 2017). A node
+//! that was stopped or starved of processor time scales its own time-outs up first, so that it waits longer
+//! before it declares others dead.
 
 use std::time::Duration;
 
-/// The worst score: time-outs are stretched by as much at the most (Lifeguard's S).
-const WORST: u32 = 8;
-/// The least score of a node that still learns who there is: half of the worst, since news of its own delays, which it
-/// has none of yet, may make it as bad again.
-const LEARNING: u32 = 4;
+/// The worst score, and so the most by which time-outs grow (Lifeguard's S).
+const MAX_SCORE: u32 = 8;
+/// The least score while the node's view still grows. It is half of the worst: delays of its own, of which a
+/// node that has just started has seen none yet, can still raise the score by as much again.
+const GROWING_VIEW_SCORE: u32 = 4;
 
-/// How well a node itself does, from 0 for well to 8: its time-outs are one and so many times as long.
+/// The local health score, from 0 (healthy) to 8. Time-outs are multiplied by the score plus one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Health {
+pub struct LocalHealth {
     score: u32,
 }
 
-impl Health {
-    /// Its score, from 0 to 8.
+impl LocalHealth {
+    /// The score, from 0 (healthy) to 8.
     pub fn score(self) -> u32 {
         self.score
     }
 
-    /// A time-out as it is to be now.
-    pub fn stretch(self, time: Duration) -> Duration {
-        time * (1 + self.score)
+    /// A time-out multiplied by the score plus one.
+    pub fn scale_timeout(self, timeout: Duration) -> Duration {
+        timeout * (1 + self.score)
     }
 
-    /// Something took longer than it should have, by so much, in units of the shortest time-out: the node has not run.
-    pub fn late(&mut self, by: Duration, unit: Duration) {
-        let units = by.as_secs_f64() / unit.as_secs_f64().max(1e-9);
-        self.score = (self.score + units.ceil().min(f64::from(WORST)) as u32).min(WORST);
+    /// Something ran `delay` later than it should have, since the node got no processor time: raises the
+    /// score by one for each started `unit`, the shortest time-out.
+    pub fn record_delay(&mut self, delay: Duration, unit: Duration) {
+        let units = delay.as_secs_f64() / unit.as_secs_f64().max(1e-9);
+        self.score = (self.score + units.ceil().min(f64::from(MAX_SCORE)) as u32).min(MAX_SCORE);
     }
 
-    /// Others doubt this node, or an answer did not come to it that came to another who asked in its stead: one worse.
-    pub fn doubted(&mut self) {
-        self.score = (self.score + 1).min(WORST);
+    /// Raises the score by one: another member suspects this node, or an ack reached only the member that
+    /// probed on this node's behalf.
+    pub fn degrade(&mut self) {
+        self.score = (self.score + 1).min(MAX_SCORE);
     }
 
-    /// It still learns who there is, and so do others, whose denials of a suspicion have to share the room with that: not
-    /// well, until it is over.
-    pub fn learning(&mut self) {
-        self.score = self.score.max(LEARNING);
+    /// Holds the score at [`GROWING_VIEW_SCORE`] or above while the view still grows. Others are then
+    /// learning of members too, and their refutations of a suspicion share the room in datagrams with that
+    /// news.
+    pub fn view_growing(&mut self) {
+        self.score = self.score.max(GROWING_VIEW_SCORE);
     }
 
-    /// A round went as it should: one better.
-    pub fn well(&mut self) {
+    /// Lowers the score by one, after a probe period without trouble.
+    pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 }
--- a/crates/fleet/src/identity.rs
+++ b/crates/fleet/src/identity.rs
@@ -1,19 +1,19 @@
-//! Who a member is: a name that is its own, and what tells one life of it from another.
+//! The identity of a member: its unique name, and what distinguishes one start of its process from another.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddrV4;
 
-/// The longest name, in bytes.
-const LONGEST: usize = 24;
+/// The greatest length of a name.
+const MAX_NAME_BYTES: usize = 24;
 
-/// A member's name: 1 to 24 visible ASCII characters. It is the same after a restart. It is copied where SWIM looks
-/// through all members, and so has no room of its own elsewhere.
+/// A member's name: 1 to 24 visible ASCII characters. It stays the same over restarts. It is stored inline,
+/// without an allocation, since it is copied wherever SWIM scans all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Name([u8; LONGEST]);
+pub struct Name([u8; MAX_NAME_BYTES]);
 
-/// Why a text is no name.
+/// The error for a text that is not a valid name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a member's name has 1 to 24 visible ASCII characters")]
 pub struct NameError;
@@ -22,10 +22,11 @@
     type Error = NameError;
 
     fn try_from(text: &str) -> Result<Self, NameError> {
-        let fits = (1..=LONGEST).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic());
-        // What follows a name is 0, less than any of its characters: names are in the order of their texts.
-        let mut bytes = [0; LONGEST];
-        bytes.iter_mut().zip(text.bytes()).for_each(|(byte, of)| *byte = of);
+        let fits =
+            (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic());
+        // The padding is 0, less than any character of a name, so names sort as their texts do.
+        let mut bytes = [0; MAX_NAME_BYTES];
+        bytes.iter_mut().zip(text.bytes()).for_each(|(byte, character)| *byte = character);
         if fits { Ok(Name(bytes)) } else { Err(NameError) }
     }
 }
@@ -39,10 +40,10 @@
 }
 
 impl Name {
-    /// Its text.
+    /// The name as text.
     pub fn as_str(&self) -> &str {
-        let length = self.0.iter().position(|byte| *byte == 0).unwrap_or(LONGEST);
-        std::str::from_utf8(&self.0[..length]).unwrap_or_default() // ASCII, as checked
+        let length = self.0.iter().position(|byte| *byte == 0).unwrap_or(MAX_NAME_BYTES);
+        std::str::from_utf8(&self.0[..length]).unwrap_or_default() // always ASCII, as `try_from` checks
     }
 }
 
@@ -53,46 +54,47 @@
 }
 
 impl fmt::Display for Name {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str(self.as_str())
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.as_str())
     }
 }
 
-/// Where a member is reached. On the platform each node sees the others at addresses of its own, and only a node's
-/// number in the fleet means the same to all.
+/// Where a member is reached. On the platform each node sees the others at different socket addresses, so
+/// that only a node's number in the fleet means the same to all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Address {
-    /// Its number in the fleet: its place in every node's list of peers.
-    #[serde(rename = "Seat")] // the name in files that were saved before
+    /// The node's number in the fleet: its index in every node's list of peers.
+    #[serde(rename = "Seat")] // its name in files written by earlier versions
     Node(u16),
-    /// One that all see alike.
+    /// A socket address that is the same for all nodes.
     Socket(SocketAddrV4),
 }
 
 impl fmt::Display for Address {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Address::Node(number) => write!(out, "node {number}"),
-            Address::Socket(address) => write!(out, "{address}"),
+            Address::Node(number) => write!(f, "node {number}"),
+            Address::Socket(address) => write!(f, "{address}"),
         }
     }
 }
 
-/// One life of a member.
+/// One start of a member's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name.
+    /// The member's name.
     pub name: Name,
-    /// When its process started, by its own wall clock, in ms: of two lives of a name the later one is the member. It
-    /// is compared with no other clock than that of the same name's lives.
+    /// When the process started, by its own wall clock, in ms of Unix time. Of two processes with one name
+    /// the one that started later is the member. Only start times of the same name are compared, never those
+    /// of different members.
     pub started_ms: u64,
-    /// How often it has come back after it was taken for dead.
+    /// How often this process has rejoined after it was declared dead.
     pub renewed: u16,
-    /// Where it is.
+    /// Where the member is reached.
     pub address: Address,
-    /// Its zone.
+    /// The member's zone.
     pub zone: u8,
-    /// The version of its program.
+    /// The version of the member's program.
     pub program_version: u16,
 }
 
@@ -113,13 +115,13 @@
     }
 }
 
-/// What a member is about.
+/// What stage of its membership a node is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It knows nobody yet.
+    /// It knows no other member yet.
     Joining,
-    /// It takes its part.
+    /// It is a member.
     Active,
-    /// It is about to leave: told apart from failure.
+    /// It is leaving on purpose, which others tell apart from a failure.
     Leaving,
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! What hillpick's processes know of one another: membership, by SWIM with suspicion and incarnations, and how far they
-//! agree on it.
+//! Membership among hillpick nodes: SWIM with suspicion and incarnations, and how far the members' views
+//! agree.
 //!
-//! There is no I/O and no clock here: the caller brings bytes and times, and takes bytes and times. The node and the lab
-//! drive the same code.
+//! This crate does no I/O and reads no clock: the caller passes in datagrams and times, and gets back
+//! datagrams to send and the time of the next call. The node and the lab drive the same code.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,7 +14,7 @@
 mod wire;
 
 pub use agreement::{Agreement, Certainty};
-pub use health::Health;
+pub use health::LocalHealth;
 pub use identity::{Address, Identity, Name, NameError, Phase};
 pub use membership::{Cause, Change, Counters, MAX_MEMBERS, Member, Membership, Output, Settings};
 pub use wire::{MAX_DATAGRAM_BYTES, Rejected};
--- a/crates/fleet/src/membership/changes.rs
+++ b/crates/fleet/src/membership/changes.rs
@@ -1,8 +1,8 @@
-//! What changes a member's own standing, and what SWIM has found out of the others.
+//! Changes of this node's own membership, and what SWIM wants done and has found out about the others.
 
-use super::graceful_leave::Left;
-use super::send::SWIM;
-use super::settings::config;
+use super::graceful_leave::LeaveNotice;
+use super::send::KIND_SWIM;
+use super::settings::foca_config;
 use super::timers::{PendingTimer, Suspicion};
 use super::{Cause, Change, Membership, Output};
 use crate::agreement::member_digest;
@@ -10,25 +10,26 @@
 use foca::{AccumulatingRuntime, OwnedNotification, Timer};
 use std::time::Duration;
 
-/// A suspicion is so many parts long, and after each but the last the suspect itself is called: at a loss of a fifth each
-/// way, three calls reach it and back 19 times in 20.
-const SUSPICION_PARTS: u32 = 4;
-/// Departures that are kept to be shown.
+/// A suspicion timeout is split into this many steps, and at the end of each but the last the suspect is
+/// contacted directly. If a fifth of the datagrams is lost each way, one of the three contacts is answered 19
+/// times in 20.
+const SUSPICION_STEPS: u32 = 4;
+/// The number of past departures that are kept for [`Membership::departed`].
 const MAX_DEPARTED: usize = 256;
 
 impl Membership {
-    /// This node leaves: it says so to a few at once, and they to all.
+    /// Leaves the fleet: tells a few members at once, and they pass it on to all.
     pub fn leave(&mut self, now: Duration, out: &mut Vec<Output>) {
-        if self.displaced.is_some() || self.phase == Phase::Leaving {
+        if self.displaced_by.is_some() || self.phase == Phase::Leaving {
             return;
         }
         self.phase = Phase::Leaving;
-        let left = Left { name: self.me.name, started_ms: self.me.started_ms };
-        if let Ok(data) = postcard::to_allocvec(&left) {
+        let notice = LeaveNotice { name: self.local.name, started_ms: self.local.started_ms };
+        if let Ok(data) = postcard::to_allocvec(&notice) {
             let _ = self.swim.add_broadcast(&data);
         }
         let mut effects = AccumulatingRuntime::new();
-        // Once would do if nothing were lost.
+        // More than once, since datagrams may be lost.
         for _ in 0..3 {
             let _ = self.swim.gossip(&mut effects);
         }
@@ -36,124 +37,133 @@
         self.apply_effects(effects, now, out);
     }
 
-    /// Its clock was set back since an earlier life: this one's start is put after that one's, or nobody would hear it.
+    /// Moves this node's start after that of an earlier process of the same node, since the clock was set
+    /// back in between. Otherwise the other members would ignore this process.
     pub(super) fn start_after(&mut self, started_ms: u64, effects: &mut AccumulatingRuntime<Identity>) {
-        let me = Identity { started_ms: started_ms.saturating_add(1), renewed: 0, ..self.me.clone() };
-        self.digest = self.digest.wrapping_sub(member_digest(&self.me)).wrapping_add(member_digest(&me));
-        self.observed.borrow_mut().me = me.clone();
-        self.me = me.clone();
+        let local = Identity { started_ms: started_ms.saturating_add(1), renewed: 0, ..self.local.clone() };
+        self.digest =
+            self.digest.wrapping_sub(member_digest(&self.local)).wrapping_add(member_digest(&local));
+        self.observed.borrow_mut().local = local.clone();
+        self.local = local.clone();
         self.counters.renewed += 1;
-        // Refused only if it is the same, which it is not.
-        let _ = self.swim.change_identity(me, effects);
+        // Foca refuses only an unchanged identity, and this one differs.
+        let _ = self.swim.change_identity(local, effects);
     }
 
+    /// Stops this node's membership, since a process with the same name started later.
     pub(super) fn displace(&mut self, by: Identity, out: &mut Vec<Output>) {
         out.push(Output::Displaced(by.clone()));
-        self.displaced = Some(by);
-        self.timers.clear();
-        self.waiting.clear();
+        self.displaced_by = Some(by);
+        self.due_times.clear();
+        self.pending_timers.clear();
     }
 
-    /// What SWIM wants done, and what it has found out. Returns how many messages that were.
+    /// Applies what SWIM has found out, sets the timers that it wants, and sends its messages. Returns the
+    /// number of these.
     pub(super) fn apply_effects(
         &mut self,
         mut effects: AccumulatingRuntime<Identity>,
         now: Duration,
         out: &mut Vec<Output>,
     ) -> usize {
-        while let Some(note) = effects.to_notify() {
-            self.handle_notification(note, now, out);
+        while let Some(notification) = effects.to_notify() {
+            self.handle_notification(notification, now, out);
         }
-        let own = now.saturating_sub(self.lost);
+        let local_now = now.saturating_sub(self.stalled);
         while let Some((after, timer)) = effects.to_schedule() {
-            let doubts = self.settings.local_health;
-            let stretched = match timer {
+            let local_health = self.settings.local_health;
+            let delay = match timer {
                 Timer::ProbeRandomMember(_)
                 | Timer::SendIndirectProbe { .. }
                 | Timer::ChangeSuspectToDown { .. }
-                    if doubts =>
+                    if local_health =>
                 {
-                    self.health.stretch(after)
+                    self.health.scale_timeout(after)
                 }
                 _ => after,
             };
-            let suspects = matches!(timer, Timer::ChangeSuspectToDown { .. });
-            self.suspicions += u64::from(suspects);
-            let (after, suspicion) = if suspects && doubts {
-                let part = stretched / SUSPICION_PARTS;
-                (part, Some(Suspicion { since: now, part, left: SUSPICION_PARTS }))
+            let is_suspicion = matches!(timer, Timer::ChangeSuspectToDown { .. });
+            self.suspicions_raised += u64::from(is_suspicion);
+            let (after, suspicion) = if is_suspicion && local_health {
+                let step = delay / SUSPICION_STEPS;
+                (step, Some(Suspicion { since: now, step, steps_left: SUSPICION_STEPS }))
             } else {
-                (stretched, None)
+                (delay, None)
             };
-            self.set_timer(own + after, PendingTimer { timer, suspicion });
+            self.set_timer(local_now + after, PendingTimer { timer, suspicion });
         }
-        let mut sent = 0;
+        let mut messages_sent = 0;
         while let Some((to, body)) = effects.to_send() {
-            self.send(SWIM, to.address, &body, out);
-            sent += 1;
+            self.send(KIND_SWIM, to.address, &body, out);
+            messages_sent += 1;
         }
-        sent
+        messages_sent
     }
 
     fn handle_notification(
         &mut self,
-        note: OwnedNotification<Identity>,
+        notification: OwnedNotification<Identity>,
         now: Duration,
         out: &mut Vec<Output>,
     ) {
-        match note {
-            OwnedNotification::MemberUp(member) => self.add(member, out),
+        match notification {
+            OwnedNotification::MemberUp(member) => self.add_member(member, out),
             OwnedNotification::MemberDown(member) => {
-                let cause = if self.leavers.has(&member) { Cause::Left } else { Cause::Failed };
-                self.remove(&member, cause, now, out);
+                let cause = if self.departed_members.contains(&member) { Cause::Left } else { Cause::Failed };
+                self.remove_member(&member, cause, now, out);
             }
             OwnedNotification::Rename(before, after) => {
-                // Of two lives the later one is the member; whether that is alive is told by itself.
+                // The later of two starts is the member. Whether it is alive is a notification of its own.
                 if self.members.get(&before.name) == Some(&before) {
-                    self.forget(&before);
-                    self.add(after, out);
+                    self.drop_from_view(&before);
+                    self.add_member(after, out);
                 }
             }
             OwnedNotification::Active => {
                 self.phase = if self.phase == Phase::Joining { Phase::Active } else { self.phase };
             }
-            OwnedNotification::Rejoin(me) => {
+            OwnedNotification::Rejoin(local) => {
                 self.digest =
-                    self.digest.wrapping_sub(member_digest(&self.me)).wrapping_add(member_digest(&me));
-                self.observed.borrow_mut().me = me.clone();
-                self.me = me;
+                    self.digest.wrapping_sub(member_digest(&self.local)).wrapping_add(member_digest(&local));
+                self.observed.borrow_mut().local = local.clone();
+                self.local = local;
                 self.counters.renewed += 1;
-                self.health.doubted();
+                self.health.degrade();
             }
             OwnedNotification::Idle | OwnedNotification::Defunct => {}
         }
     }
 
-    fn add(&mut self, member: Identity, out: &mut Vec<Output>) {
+    /// Adds a member to the view, or replaces an earlier start of it, if there is room.
+    fn add_member(&mut self, member: Identity, out: &mut Vec<Output>) {
         let held = self.members.get(&member.name);
         if held == Some(&member) || held.is_none() && self.members.len() >= self.settings.max_members {
             return;
         }
-        let before = self.departed.iter().any(|(gone, ..)| gone.name == member.name);
-        let cause =
-            if before || self.members.contains_key(&member.name) { Cause::Returned } else { Cause::Joined };
+        let has_departed = self.departed.iter().any(|(gone, ..)| gone.name == member.name);
+        let cause = if has_departed || self.members.contains_key(&member.name) {
+            Cause::Returned
+        } else {
+            Cause::Joined
+        };
         if let Some(before) = self.members.get(&member.name).cloned() {
-            self.forget(&before);
+            self.drop_from_view(&before);
         }
         self.digest = self.digest.wrapping_add(member_digest(&member));
         self.members.insert(member.name, member.clone());
-        self.version += 1;
+        self.view_version += 1;
         self.observed.borrow_mut().names.insert(member.name);
-        self.resized();
+        self.update_swim_config();
         out.push(Output::Changed(Change { member, cause }));
     }
 
-    fn remove(&mut self, member: &Identity, cause: Cause, now: Duration, out: &mut Vec<Output>) {
+    /// Removes a member that left or failed, and records its departure.
+    fn remove_member(&mut self, member: &Identity, cause: Cause, now: Duration, out: &mut Vec<Output>) {
         if self.members.get(&member.name) != Some(member) {
             return;
         }
-        self.forget(member);
-        self.resized();
+        self.drop_from_view(member);
+        self.update_swim_config();
         match cause {
             Cause::Left => self.counters.left += 1,
             _ => self.counters.failed += 1,
@@ -165,17 +175,18 @@
         out.push(Output::Changed(Change { member: member.clone(), cause }));
     }
 
-    fn forget(&mut self, member: &Identity) {
+    /// Removes a member from the view and from all that depends on it.
+    fn drop_from_view(&mut self, member: &Identity) {
         self.members.remove(&member.name);
-        self.version += 1;
+        self.view_version += 1;
         self.observed.borrow_mut().names.remove(&member.name);
         self.digest = self.digest.wrapping_sub(member_digest(member));
-        self.views.forget(&member.name);
+        self.peer_views.remove(&member.name);
     }
 
-    /// Suspicion lasts for longer among more members.
-    fn resized(&mut self) {
-        // Nothing else of it changes, which is all that could be refused.
-        let _ = self.swim.set_config(config(&self.settings, self.members.len() + 1));
+    /// Adapts foca's configuration to the number of members: the suspicion timeout grows with it.
+    fn update_swim_config(&mut self) {
+        // Foca refuses only changes of other settings, and only the suspicion timeout differs.
+        let _ = self.swim.set_config(foca_config(&self.settings, self.members.len() + 1));
     }
 }
--- a/crates/fleet/src/membership/codec.rs
+++ b/crates/fleet/src/membership/codec.rs
@@ -1,4 +1,5 @@
-//! SWIM's messages in postcard's form, and what they say of this node, seen as they are read.
+//! Foca's codec for SWIM messages: postcard's encoding, with a check of what each decoded message says of
+//! this node.
 
 use crate::identity::{Identity, Name};
 use foca::Codec;
@@ -7,46 +8,50 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A start that lies so far in this node's future was not measured by a clock like its own is now: clocks of one fleet
-/// are kept within seconds of each other, and what is set back by less is as well waited for.
+/// A start further in this node's future than this was not taken from a clock that agrees with its own now.
+/// Clocks of one fleet are kept within seconds of each other. After a clock was set back by less than this,
+/// the node can as well wait until it has caught up.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
 
-/// What the codec sees go by.
+/// What the codec needs to know of this node, and what it observed in decoded messages.
 pub(super) struct Observed {
-    pub(super) me: Identity,
-    /// The names of the members that are alive.
+    /// This node.
+    pub(super) local: Identity,
+    /// The names of the live members.
     pub(super) names: BTreeSet<Name>,
     pub(super) max_members: usize,
-    /// A later life under this node's name.
+    /// Another process with this node's name that started later.
     pub(super) later_process: Option<Identity>,
-    /// When this node's own earlier life started, by a clock that has been set back since.
-    pub(super) earlier: Option<u64>,
-    /// What its clock says now, in ms of Unix time.
+    /// The start of an earlier process of this node itself, by a clock that has been set back since.
+    pub(super) earlier_start: Option<u64>,
+    /// The current wall clock time, in ms of Unix time.
     pub(super) now_ms: u64,
-    pub(super) doubted: u64,
+    /// How many updates said that this node is suspected.
+    pub(super) suspicions: u64,
 }
 
 impl Observed {
-    /// Whether this is this node itself, in a life before its clock was set back: nobody else is at its address, and no
-    /// start can lie so far in the future.
+    /// Whether `id` is an earlier process of this node, from before its clock was set back: no other node has
+    /// its address, and no start can be so far in the future. Records that start.
     fn is_earlier_self(&mut self, id: &Identity) -> bool {
-        let future = self.now_ms.saturating_add(MAX_CLOCK_SKEW.as_millis() as u64);
-        let it = id.name == self.me.name && id.address == self.me.address && id.started_ms > future;
-        if it {
-            self.earlier = self.earlier.max(Some(id.started_ms));
+        let latest_start = self.now_ms.saturating_add(MAX_CLOCK_SKEW.as_millis() as u64);
+        let is_earlier =
+            id.name == self.local.name && id.address == self.local.address && id.started_ms > latest_start;
+        if is_earlier {
+            self.earlier_start = self.earlier_start.max(Some(id.started_ms));
         }
-        it
+        is_earlier
     }
 
-    /// What is said of a member: whether that may be taken in.
-    pub(super) fn take_in(&mut self, id: &Identity, state: foca::State) -> Result<(), DecodeError> {
-        if *id == self.me {
-            self.doubted += u64::from(state == foca::State::Suspect);
-        } else if id.name == self.me.name {
+    /// Checks whether an update on a member may be applied, and records what it says of this node's name.
+    pub(super) fn check_update(&mut self, id: &Identity, state: foca::State) -> Result<(), DecodeError> {
+        if *id == self.local {
+            self.suspicions += u64::from(state == foca::State::Suspect);
+        } else if id.name == self.local.name {
             if self.is_earlier_self(id) {
                 return Err(DecodeError::NameTaken);
             }
-            if id.started_ms > self.me.started_ms && state != foca::State::Down {
+            if id.started_ms > self.local.started_ms && state != foca::State::Down {
                 self.later_process = Some(id.clone());
                 return Err(DecodeError::NameTaken);
             }
@@ -57,15 +62,15 @@
     }
 }
 
-/// SWIM's messages in postcard's form, with a look at what they say of this node.
+/// Encodes and decodes SWIM messages with postcard, and checks each decoded update against [`Observed`].
 pub(super) struct ObservingCodec(pub(super) foca::PostcardCodec, pub(super) Rc<RefCell<Observed>>);
 
-/// A message that is not taken in.
+/// Why a message is not accepted.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DecodeError {
-    #[error("malformed")]
+    #[error("malformed, or names a member over the limit")]
     Malformed,
-    #[error("it says that another process bears this one's name")]
+    #[error("names another process with this node's name")]
     NameTaken,
 }
 
@@ -82,7 +87,8 @@
 
     fn decode_header(&mut self, buf: impl bytes::Buf) -> Result<foca::Header<Identity>, DecodeError> {
         let header: foca::Header<Identity> = self.0.decode_header(buf).map_err(|_| DecodeError::Malformed)?;
-        // Who still probes an earlier life lets this one know of it.
+        // A member that still probes an earlier process of this node is how this process learns of that one's
+        // start.
         if self.1.borrow_mut().is_earlier_self(&header.dst) {
             return Err(DecodeError::NameTaken);
         }
@@ -99,7 +105,7 @@
 
     fn decode_member(&mut self, buf: impl bytes::Buf) -> Result<foca::Member<Identity>, DecodeError> {
         let member: foca::Member<Identity> = self.0.decode_member(buf).map_err(|_| DecodeError::Malformed)?;
-        self.1.borrow_mut().take_in(member.id(), member.state())?;
+        self.1.borrow_mut().check_update(member.id(), member.state())?;
         Ok(member)
     }
 }
--- a/crates/fleet/src/membership/events.rs
+++ b/crates/fleet/src/membership/events.rs
@@ -1,81 +1,82 @@
-//! What a member is told by its core, and what that shows of the others.
+//! What a member reports to its caller: outputs, changes of membership, counters, and how it sees each other
+//! member.
 
 use crate::identity::{Address, Identity};
 use crate::wire::Rejected;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Why a member came or went.
+/// Why a member joined or went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// It was not known before.
     Joined,
-    /// It has started anew, or has come back after it was taken for dead.
+    /// It has restarted, or has rejoined after it was declared dead.
     Returned,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
-    /// It answered nobody.
+    /// It answered no probe and was declared dead.
     Failed,
 }
 
-/// A member has come or gone.
+/// A member has joined or gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Who.
+    /// The member.
     pub member: Identity,
-    /// How.
+    /// Why it joined or went.
     pub cause: Cause,
 }
 
-/// Something to be done, or to be known.
+/// Something that the caller has to do or to know.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// A datagram, of no more than 256 bytes.
+    /// A datagram to send.
     Send {
-        /// Where to.
+        /// The receiver.
         to: Address,
-        /// The datagram.
+        /// The datagram, at most 256 bytes.
         data: Vec<u8>,
     },
-    /// A member has come or gone.
+    /// A member has joined or gone.
     Changed(Change),
-    /// Another process bears this one's name and has started later: this one is no member any more, until it is
+    /// Another process with this node's name started later: this one is no longer a member, until it is
     /// started again.
     Displaced(Identity),
 }
 
-/// A member, as it is seen.
+/// Another member, as this node sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Who.
+    /// The member.
     pub identity: Identity,
-    /// Somebody doubts that it lives.
+    /// Whether it is suspected to have failed.
     pub suspect: bool,
-    /// SWIM's incarnation of this life.
+    /// The SWIM incarnation of this start of it.
     pub incarnation: u16,
-    /// How long ago it was heard by this node itself, if it was.
+    /// How long ago this node last received a datagram from it; none if it never did.
     pub heard_ago: Option<Duration>,
 }
 
-/// What has been counted.
+/// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
-    /// Likewise.
+    /// The bytes of those datagrams.
     pub sent_bytes: u64,
-    /// Datagrams heard and taken in.
+    /// Datagrams received and accepted.
     pub received: u64,
-    /// Dropped, by why.
+    /// Datagrams dropped, by the reason.
     pub rejected: BTreeMap<Rejected, u64>,
-    /// Times that others doubted this node.
+    /// Suspicions of this node by others that it received.
     pub suspected: u64,
-    /// Times that it came back after it was taken for dead.
+    /// How often it rejoined after it was declared dead, or moved its start after that of an earlier process.
     pub renewed: u64,
-    /// Suspects that were not taken for dead, since they were heard meanwhile.
+    /// Suspects that were not declared dead, since they were heard from after the suspicion began.
     pub suspicions_cleared: u64,
-    /// Members that failed, and that left.
+    /// Members that failed.
     pub failed: u64,
-    /// Likewise.
+    /// Members that left.
     pub left: u64,
 }
--- a/crates/fleet/src/membership/graceful_leave.rs
+++ b/crates/fleet/src/membership/graceful_leave.rs
@@ -1,4 +1,4 @@
-//! Who has left by its own will: told apart from failure.
+//! Graceful leave: the members that announced that they leave, which tells them apart from those that failed.
 
 use crate::identity::{Identity, Name};
 use foca::BroadcastHandler;
@@ -8,76 +8,89 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a dead life is remembered, so that old news of it raises nobody.
+/// How long the tombstone of a dead member is kept, so that old updates can't bring it back.
 pub(super) const TOMBSTONE_TTL: Duration = Duration::from_secs(600);
 
-/// News that a member has left by its own will.
+/// The announcement that a member leaves, disseminated as a broadcast.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Left {
+pub(super) struct LeaveNotice {
     pub(super) name: Name,
     pub(super) started_ms: u64,
 }
 
-impl foca::Invalidates for Left {
+impl foca::Invalidates for LeaveNotice {
     fn invalidates(&self, other: &Self) -> bool {
         self.name == other.name && self.started_ms >= other.started_ms
     }
 }
 
-/// Those who have said that they leave: the latest life of each name and when that was heard, for as long as a dead life
-/// is remembered.
+/// The members that announced that they leave: for each name the latest start that did, and when this was
+/// learnt. They are kept as long as tombstones. Clones share one record, since foca owns the handler of
+/// broadcasts.
 #[derive(Clone, Default)]
-pub(super) struct Leavers(Rc<RefCell<Departures>>);
+pub(super) struct DepartedMembers(Rc<RefCell<Departures>>);
 
 #[derive(Default)]
 struct Departures {
     by_name: BTreeMap<Name, (u64, Duration)>,
-    /// How often there was news.
-    news: u64,
-    /// What time it is: SWIM calls without one.
+    /// How many notices were new.
+    notices: u64,
+    /// The current time, since foca passes none to the handler of broadcasts.
     now: Duration,
 }
 
-impl Leavers {
-    pub(super) fn note(&self, left: &Left, max_members: usize) -> bool {
-        let gone = &mut *self.0.borrow_mut();
-        let known = gone.by_name.get(&left.name).is_some_and(|(started, _)| *started >= left.started_ms);
-        if known || gone.by_name.len() >= max_members && !gone.by_name.contains_key(&left.name) {
+impl DepartedMembers {
+    /// Records a notice; returns whether it was new. At most `max_members` names are kept.
+    pub(super) fn record(&self, notice: &LeaveNotice, max_members: usize) -> bool {
+        let departures = &mut *self.0.borrow_mut();
+        let known =
+            departures.by_name.get(&notice.name).is_some_and(|(started, _)| *started >= notice.started_ms);
+        if known || departures.by_name.len() >= max_members && !departures.by_name.contains_key(&notice.name)
+        {
             return false;
         }
-        gone.by_name.insert(left.name, (left.started_ms, gone.now));
-        gone.news += 1;
+        departures.by_name.insert(notice.name, (notice.started_ms, departures.now));
+        departures.notices += 1;
         true
     }
 
-    pub(super) fn news(&self) -> u64 {
-        self.0.borrow().news
+    /// How many notices were new so far.
+    pub(super) fn notices(&self) -> u64 {
+        self.0.borrow().notices
     }
 
-    pub(super) fn has(&self, member: &Identity) -> bool {
+    /// Whether this start of a member, or a later one, announced that it leaves.
+    pub(super) fn contains(&self, member: &Identity) -> bool {
         self.0.borrow().by_name.get(&member.name).is_some_and(|(started, _)| *started >= member.started_ms)
     }
 
+    /// Sets the time at which later notices are recorded.
     pub(super) fn set_now(&self, now: Duration) {
         self.0.borrow_mut().now = now;
     }
 
+    /// Drops what is older than [`TOMBSTONE_TTL`].
     pub(super) fn prune(&self) {
-        let gone = &mut *self.0.borrow_mut();
-        let now = gone.now;
-        gone.by_name.retain(|_, (_, at)| now.saturating_sub(*at) < TOMBSTONE_TTL);
+        let departures = &mut *self.0.borrow_mut();
+        let now = departures.now;
+        departures.by_name.retain(|_, (_, recorded_at)| now.saturating_sub(*recorded_at) < TOMBSTONE_TTL);
     }
 }
 
-pub(super) struct Broadcasts(pub(super) Leavers, pub(super) usize);
+/// Foca's handler of broadcasts: the record of departed members, and the greatest number of names in it.
+pub(super) struct LeaveBroadcasts(pub(super) DepartedMembers, pub(super) usize);
 
-impl BroadcastHandler<Identity> for Broadcasts {
-    type Key = Left;
+impl BroadcastHandler<Identity> for LeaveBroadcasts {
+    type Key = LeaveNotice;
     type Error = postcard::Error;
 
-    fn receive_item(&mut self, data: &[u8], _: Option<&Identity>) -> Result<Option<Left>, postcard::Error> {
-        let left: Left = postcard::from_bytes(data)?;
-        let new = self.0.note(&left, self.1);
-        Ok(new.then_some(left))
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        _: Option<&Identity>,
+    ) -> Result<Option<LeaveNotice>, postcard::Error> {
+        let notice: LeaveNotice = postcard::from_bytes(data)?;
+        let new = self.0.record(&notice, self.1);
+        Ok(new.then_some(notice))
     }
 }
--- a/crates/fleet/src/membership/receive.rs
+++ b/crates/fleet/src/membership/receive.rs
@@ -1,101 +1,101 @@
-//! What a datagram does.
+//! Handling of received datagrams.
 
 use super::codec::DecodeError;
-use super::graceful_leave::Left;
-use super::send::{ASK, HELLO, PAGE, SWIM, WELCOME};
+use super::graceful_leave::LeaveNotice;
+use super::send::{KIND_HELLO, KIND_PAGE, KIND_PAGE_REQUEST, KIND_SWIM, KIND_WELCOME};
 use super::{Cause, Change, Membership, Output};
 use crate::identity::{Address, Identity, Phase};
-use crate::state_sync::{Ask, MAX_PAGE_MEMBERS, Page};
-use crate::wire::{self, Head, Rejected, Window};
+use crate::state_sync::{MAX_PAGE_MEMBERS, Page, PageRequest};
+use crate::wire::{self, Header, KIND_OFFSET, Rejected, ReplayWindow};
 use foca::AccumulatingRuntime;
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::time::Duration;
 
-/// In a period, so many who are found to hold another view are asked for a page of theirs.
-const ASK_EVERY: u32 = 4;
+/// In a probe period, at most this many members with a different view are asked for a page of their list.
+const SYNCS_PER_PERIOD: u32 = 4;
 
 impl Membership {
-    /// A datagram has come.
+    /// Handles a received datagram.
     pub fn receive(&mut self, now: Duration, data: &[u8], out: &mut Vec<Output>) {
-        if self.displaced.is_some() || self.phase == Phase::Leaving {
+        if self.displaced_by.is_some() || self.phase == Phase::Leaving {
             return;
         }
-        // What is late is noticed by what comes first, a timer or a datagram.
+        // A delay of this node is noticed by whichever comes first after it, a timer or a datagram.
         self.local_time(now);
-        match self.try_hear(now, data, out) {
+        match self.try_receive(now, data, out) {
             Ok(()) => self.counters.received += 1,
-            Err(why) => *self.counters.rejected.entry(why).or_default() += 1,
+            Err(reason) => *self.counters.rejected.entry(reason).or_default() += 1,
         }
     }
 
-    fn try_hear(&mut self, now: Duration, data: &[u8], out: &mut Vec<Output>) -> Result<(), Rejected> {
-        let (head, body) = Head::read(data, self.cluster)?;
-        let sender = wire::sender(body)?;
-        let ran = now.saturating_sub(self.begun.0).as_millis() as u64;
-        self.observed.borrow_mut().now_ms = self.begun.1.saturating_add(ran);
-        if sender.name == self.me.name {
-            if sender.started_ms > self.me.started_ms {
+    fn try_receive(&mut self, now: Duration, data: &[u8], out: &mut Vec<Output>) -> Result<(), Rejected> {
+        let (header, body) = Header::decode(data, self.cluster_hash)?;
+        let sender = wire::decode_sender(body)?;
+        let uptime_ms = now.saturating_sub(self.started.0).as_millis() as u64;
+        self.observed.borrow_mut().now_ms = self.started.1.saturating_add(uptime_ms);
+        if sender.name == self.local.name {
+            if sender.started_ms > self.local.started_ms {
                 self.displace(sender, out);
             }
             return Err(Rejected::SameName);
         }
-        if self.windows.len() >= self.settings.max_members && !self.windows.contains_key(&sender.name) {
+        if self.senders.len() >= self.settings.max_members && !self.senders.contains_key(&sender.name) {
             let members = &self.members;
-            self.windows.retain(|name, _| members.contains_key(name));
-            if self.windows.len() >= self.settings.max_members {
+            self.senders.retain(|name, _| members.contains_key(name));
+            if self.senders.len() >= self.settings.max_members {
                 return Err(Rejected::Garbage);
             }
         }
-        let (life, window, at) =
-            self.windows.entry(sender.name).or_insert((sender.started_ms, Window::default(), now));
-        if sender.started_ms > *life {
-            (*life, *window) = (sender.started_ms, Window::default());
+        let (started_ms, window, received_at) =
+            self.senders.entry(sender.name).or_insert((sender.started_ms, ReplayWindow::default(), now));
+        if sender.started_ms > *started_ms {
+            (*started_ms, *window) = (sender.started_ms, ReplayWindow::default());
         }
-        if sender.started_ms < *life || !window.is_new(head.sequence) {
+        if sender.started_ms < *started_ms || !window.is_new(header.sequence) {
             return Err(Rejected::Replayed);
         }
-        *at = now;
-        let kind = data[3];
+        *received_at = now;
+        let kind = data[KIND_OFFSET];
         let mut effects = AccumulatingRuntime::new();
         match kind {
-            HELLO | WELCOME => {
-                if kind == HELLO {
-                    self.send_identity(WELCOME, sender.address, out);
+            KIND_HELLO | KIND_WELCOME => {
+                if kind == KIND_HELLO {
+                    self.send_identity(KIND_WELCOME, sender.address, out);
                 }
-                // Either way there is somebody to ask who else there is.
+                // Either way the sender can be asked for the members that it knows.
                 if !self.members.contains_key(&sender.name) {
                     let _ = self.swim.announce(sender.clone(), &mut effects);
                     self.request_page(sender.address, out);
                 }
             }
-            ASK => {
-                let ((_, ask), _) =
-                    postcard::take_from_bytes::<(Identity, Ask)>(body).map_err(wire::decode_error)?;
-                if self.pages.may_give() {
-                    self.send_page(&ask, sender.address, out);
+            KIND_PAGE_REQUEST => {
+                let ((_, request), _) =
+                    postcard::take_from_bytes::<(Identity, PageRequest)>(body).map_err(wire::decode_error)?;
+                if self.state_sync.may_send_page() {
+                    self.send_page(&request, sender.address, out);
                 }
                 if !self.members.contains_key(&sender.name) {
                     let _ = self.swim.announce(sender.clone(), &mut effects);
                 }
             }
-            PAGE => {
+            KIND_PAGE => {
                 let rest = postcard::take_from_bytes::<Identity>(body).map_err(wire::decode_error)?.1;
-                let page = Page::read(rest)?;
-                self.pages.came(&page);
-                let before = self.digest;
-                let read = self.apply_page(page, &mut effects, out);
+                let page = Page::decode(rest)?;
+                self.state_sync.advance_past(&page);
+                let digest_before = self.digest;
+                let applied = self.apply_page(page, &mut effects, out);
                 self.apply_effects(std::mem::take(&mut effects), now, out);
-                read?;
-                // What taught something is worth going on with.
-                if self.digest != before && self.digest != head.digest {
+                applied?;
+                // Another page is requested if this one brought something new and the views still differ.
+                if self.digest != digest_before && self.digest != header.digest {
                     self.request_page(sender.address, out);
                 }
             }
-            SWIM => {
-                let heard = self.swim.handle_data(body, &mut effects);
-                let earlier = self.observed.borrow_mut().earlier.take();
-                if let Some(started_ms) = earlier {
+            KIND_SWIM => {
+                let handled = self.swim.handle_data(body, &mut effects);
+                let earlier_start = self.observed.borrow_mut().earlier_start.take();
+                if let Some(started_ms) = earlier_start {
                     self.start_after(started_ms, &mut effects);
                     self.apply_effects(effects, now, out);
                     return Err(Rejected::SameName);
@@ -105,7 +105,7 @@
                     self.displace(later_process, out);
                     return Err(Rejected::SameName);
                 }
-                if heard.is_err() {
+                if handled.is_err() {
                     self.apply_effects(effects, now, out);
                     return Err(Rejected::Garbage);
                 }
@@ -113,32 +113,35 @@
             _ => return Err(Rejected::Garbage),
         }
         self.apply_effects(effects, now, out);
-        if head.phase == Phase::Leaving {
-            self.leavers
-                .note(&Left { name: sender.name, started_ms: sender.started_ms }, self.settings.max_members);
+        if header.phase == Phase::Leaving {
+            self.departed_members.record(
+                &LeaveNotice { name: sender.name, started_ms: sender.started_ms },
+                self.settings.max_members,
+            );
         }
         if self.members.contains_key(&sender.name) {
-            self.views.hear(&sender.name, head.digest, now);
-            self.ask_if_differing(&sender, head.digest, now, out);
+            self.peer_views.record(&sender.name, header.digest, now);
+            self.sync_if_differing(&sender, header.digest, now, out);
         }
         self.reclassify_departed(out);
-        let doubted = std::mem::take(&mut self.observed.borrow_mut().doubted);
-        if doubted > 0 {
-            self.counters.suspected += doubted;
-            self.health.doubted();
+        let suspicions = std::mem::take(&mut self.observed.borrow_mut().suspicions);
+        if suspicions > 0 {
+            self.counters.suspected += suspicions;
+            self.health.degrade();
         }
         Ok(())
     }
 
-    /// That a member has left may be heard after that it is gone: then it had not failed.
+    /// Corrects the cause of departures: the notice that a member leaves may arrive after the member was
+    /// declared dead.
     fn reclassify_departed(&mut self, out: &mut Vec<Output>) {
-        let news = self.leavers.news();
-        if news == self.leavers_seen {
+        let notices = self.departed_members.notices();
+        if notices == self.leave_notices_seen {
             return;
         }
-        self.leavers_seen = news;
+        self.leave_notices_seen = notices;
         for (member, cause, _) in &mut self.departed {
-            if *cause == Cause::Failed && self.leavers.has(member) {
+            if *cause == Cause::Failed && self.departed_members.contains(member) {
                 *cause = Cause::Left;
                 self.counters.failed -= 1;
                 self.counters.left += 1;
@@ -147,43 +150,47 @@
         }
     }
 
-    /// A view that differs is asked after: the answer names some members, and those asked learn of this one.
-    fn ask_if_differing(&mut self, sender: &Identity, digest: u64, now: Duration, out: &mut Vec<Output>) {
-        let own = now.saturating_sub(self.lost);
-        if digest == self.digest || own < self.ask_at {
+    /// Requests a page of a member whose view differs, at most [`SYNCS_PER_PERIOD`] times in a period. The
+    /// answer names some of its members, and the request makes this node known to it.
+    fn sync_if_differing(&mut self, sender: &Identity, digest: u64, now: Duration, out: &mut Vec<Output>) {
+        let local_now = now.saturating_sub(self.stalled);
+        if digest == self.digest || local_now < self.next_sync_at {
             return;
         }
-        self.ask_at = own + self.health.stretch(self.settings.probe_period / ASK_EVERY);
+        self.next_sync_at =
+            local_now + self.health.scale_timeout(self.settings.probe_period / SYNCS_PER_PERIOD);
         self.request_page(sender.address, out);
     }
 
-    /// Asks for the next page of another's list.
+    /// Requests the next page of another member's list, unless this period's limit is reached.
     fn request_page(&mut self, to: Address, out: &mut Vec<Output>) {
-        let Some(ask) = self.pages.ask() else { return };
-        if let Ok(body) = postcard::to_allocvec(&(&self.me, &ask)) {
-            self.send(ASK, to, &body, out);
+        let Some(request) = self.state_sync.next_request() else { return };
+        if let Ok(body) = postcard::to_allocvec(&(&self.local, &request)) {
+            self.send(KIND_PAGE_REQUEST, to, &body, out);
         }
     }
 
-    /// The page that comes after a name. A suspect is told as a living one: who doubts it says so by SWIM.
-    fn send_page(&mut self, ask: &Ask, to: Address, out: &mut Vec<Output>) {
-        let from = ask.after.map_or(Bound::Unbounded, Bound::Excluded);
-        let mut some: BTreeMap<_, _> = self
+    /// Sends the page that follows a name. It lists suspects as alive: suspicions are disseminated by SWIM
+    /// alone.
+    fn send_page(&mut self, request: &PageRequest, to: Address, out: &mut Vec<Output>) {
+        let start = request.after.map_or(Bound::Unbounded, Bound::Excluded);
+        let mut members: BTreeMap<_, _> = self
             .members
-            .range((from, Bound::Unbounded))
+            .range((start, Bound::Unbounded))
             .take(MAX_PAGE_MEMBERS)
             .map(|(_, identity)| (identity, 0))
             .collect();
         for member in self.swim.iter_membership_state() {
-            if let Some(incarnation) = some.get_mut(member.id()) {
+            if let Some(incarnation) = members.get_mut(member.id()) {
                 *incarnation = member.incarnation();
             }
         }
-        let body = Page::write(&self.me, some.into_iter());
-        self.send(PAGE, to, &body, out);
+        let body = Page::encode(&self.local, members.into_iter());
+        self.send(KIND_PAGE, to, &body, out);
     }
 
-    /// Others know what is on a page: it is taken in, and not passed on.
+    /// Applies a page's members to the view. They are not passed on by gossip, since other members already
+    /// know them.
     fn apply_page(
         &mut self,
         page: Page,
@@ -191,12 +198,12 @@
         out: &mut Vec<Output>,
     ) -> Result<(), Rejected> {
         for (identity, incarnation) in page.members {
-            let taken = self.observed.borrow_mut().take_in(&identity, foca::State::Alive);
-            match taken {
+            let checked = self.observed.borrow_mut().check_update(&identity, foca::State::Alive);
+            match checked {
                 Err(DecodeError::NameTaken) => {
                     self.observed.borrow_mut().later_process = None;
-                    let earlier = self.observed.borrow_mut().earlier.take();
-                    match earlier {
+                    let earlier_start = self.observed.borrow_mut().earlier_start.take();
+                    match earlier_start {
                         Some(started_ms) => self.start_after(started_ms, effects),
                         None => self.displace(identity, out),
                     }
@@ -205,8 +212,9 @@
                 Err(DecodeError::Malformed) => return Err(Rejected::Garbage),
                 Ok(()) => {}
             }
-            // What it says of this node's own name is older, or this node itself; and most is known already.
-            if identity.name != self.me.name && self.members.get(&identity.name) != Some(&identity) {
+            // An entry with this node's name is this process or an earlier one; most other entries are known
+            // already.
+            if identity.name != self.local.name && self.members.get(&identity.name) != Some(&identity) {
                 let member = foca::Member::new(identity, incarnation, foca::State::Alive);
                 let _ = self.swim.apply_many([member].into_iter(), false, &mut *effects);
             }
--- a/crates/fleet/src/membership/send.rs
+++ b/crates/fleet/src/membership/send.rs
@@ -1,56 +1,64 @@
-//! Datagrams that a member makes, but for SWIM's own bodies.
+//! Sending of datagrams. The bodies of SWIM messages are made by foca.
 
 use super::{Membership, Output};
 use crate::identity::Address;
-use crate::wire::Head;
+use crate::wire::{Header, KIND_OFFSET};
 use rand::seq::IndexedRandom;
 
-/// A body that is SWIM's, and the two that make a newcomer and a member known to each other: SWIM sends to identities,
-/// and a newcomer knows only addresses.
-pub(super) const SWIM: u8 = 0;
-pub(super) const HELLO: u8 = 1;
-pub(super) const WELCOME: u8 = 2;
-/// Its sender wants a page of the other's list of members, and here it is.
-pub(super) const ASK: u8 = 3;
-pub(super) const PAGE: u8 = 4;
-/// Addresses that a newcomer tries in a period, and a member in ten: those may be of a part that was cut off.
-const JOIN_ATTEMPTS: usize = 3;
+/// The kind of a body that is a SWIM message.
+pub(super) const KIND_SWIM: u8 = 0;
+/// The kind of a body that only tells the sender's identity, and asks for the receiver's. SWIM sends to
+/// identities, and a newcomer knows only addresses.
+pub(super) const KIND_HELLO: u8 = 1;
+/// The kind of the answer to a hello: it tells the sender's identity.
+pub(super) const KIND_WELCOME: u8 = 2;
+/// The kind of a request for a page of the receiver's member list.
+pub(super) const KIND_PAGE_REQUEST: u8 = 3;
+/// The kind of the answer to a page request.
+pub(super) const KIND_PAGE: u8 = 4;
+/// The number of seeds that are contacted at a time.
+const SEEDS_PER_ATTEMPT: usize = 3;
+/// A node with members contacts seeds of which it knows no member in every tenth period: they may have been
+/// partitioned off.
+const SEED_CONTACT_PERIODS: u64 = 10;
 
 impl Membership {
-    /// Calls at some of the addresses where others may be: at each turn while it knows nobody, and now and then later, at
-    /// those where it knows nobody.
-    pub(super) fn probe_unknown(&mut self, out: &mut Vec<Output>) {
-        self.turns += 1;
+    /// Contacts some of the seeds at whose addresses no member is known: in every period while there are no
+    /// members, and in every tenth period later.
+    pub(super) fn contact_seeds(&mut self, out: &mut Vec<Output>) {
+        self.periods += 1;
         let alone = self.members.is_empty();
-        if !alone && self.turns % 10 != 0 {
+        if !alone && self.periods % SEED_CONTACT_PERIODS != 0 {
             return;
         }
         let known: std::collections::BTreeSet<_> =
             self.members.values().map(|member| member.address).collect();
         let unknown: Vec<_> = self.seeds.iter().filter(|address| !known.contains(address)).copied().collect();
-        let some: Vec<_> = unknown.choose_multiple(&mut self.random, JOIN_ATTEMPTS).copied().collect();
-        for to in some {
-            self.send_identity(HELLO, to, out);
+        let targets: Vec<_> = unknown.choose_multiple(&mut self.random, SEEDS_PER_ATTEMPT).copied().collect();
+        for to in targets {
+            self.send_identity(KIND_HELLO, to, out);
         }
     }
 
+    /// Sends a body that holds only this node's identity.
     pub(super) fn send_identity(&mut self, kind: u8, to: Address, out: &mut Vec<Output>) {
-        if let Ok(body) = postcard::to_allocvec(&self.me) {
+        if let Ok(body) = postcard::to_allocvec(&self.local) {
             self.send(kind, to, &body, out);
         }
     }
 
+    /// Sends a body of a kind, behind a header.
     pub(super) fn send(&mut self, kind: u8, to: Address, body: &[u8], out: &mut Vec<Output>) {
         self.sequence += 1;
-        let head = Head {
-            cluster: self.cluster,
+        let header = Header {
+            cluster: self.cluster_hash,
             sequence: self.sequence,
             digest: self.digest,
             members: (self.members.len() + 1).min(usize::from(u16::MAX)) as u16,
             phase: self.phase,
         };
-        let mut data = head.write(body);
-        data[3] = kind;
+        let mut data = header.encode(body);
+        data[KIND_OFFSET] = kind;
         self.counters.sent += 1;
         self.counters.sent_bytes += data.len() as u64;
         out.push(Output::Send { to, data });
--- a/crates/fleet/src/membership/settings.rs
+++ b/crates/fleet/src/membership/settings.rs
@@ -1,44 +1,47 @@
-//! What a member is told, and SWIM's settings that follow from it.
+//! The settings of a member, and foca's configuration that follows from them.
 
 use super::graceful_leave::TOMBSTONE_TTL;
-use crate::wire::BODY;
+use crate::wire::MAX_BODY_BYTES;
 use foca::PeriodicParams;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// A suspect is dead after so many periods for each factor of ten members (memberlist's rule, with half its multiple:
-/// the fleet's periods are short beside its deadlines for knowing).
+/// The suspicion timeout is this many probe periods times the decimal logarithm of the number of members:
+/// memberlist's rule with half its multiplier, since the fleet's probe periods are short against the time
+/// within which a failure must be known.
 const SUSPICION_PERIODS: f64 = 2.0;
-/// Members asked to probe in one's stead (SWIM's k).
+/// The number of members that are asked for an indirect probe (SWIM's k).
 const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(3).unwrap();
-/// Times that each piece of news is passed on by each member (foca's advice for large clusters is 15).
+/// How often each member passes on each update (foca suggests 15 for very large clusters).
 const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(10).unwrap();
 
-/// The most members that a node keeps: twice the 4,900 nodes of the largest fleet that is planned, as while a whole fleet
-/// runs beside the one that it replaces. docs/membership.md has what each costs.
+/// The greatest number of members that a node keeps: twice the 4,900 nodes of the largest planned fleet, as
+/// when a whole fleet runs beside the one that it replaces. docs/membership.md says what each member costs.
 pub const MAX_MEMBERS: usize = 2 * 4_900;
 
-/// What a member is told.
+/// The settings of a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The cluster's name: others' datagrams are dropped.
+    /// The cluster's name. Datagrams of other clusters are dropped.
     pub cluster: String,
-    /// How many nodes are configured.
+    /// The number of configured nodes.
     pub fleet_size: usize,
-    /// How often a member probes another.
+    /// The time from one probe to the next.
     pub probe_period: Duration,
-    /// How long it waits for the answer before it asks others to probe; well under half of a period.
+    /// How long a direct ack is awaited before others are asked for an indirect probe; well under half of a
+    /// period.
     pub probe_timeout: Duration,
-    /// No more members than this are kept.
+    /// The greatest number of other members that are kept.
     pub max_members: usize,
-    /// Whether the node doubts itself (Lifeguard's idea) and calls a suspect before it takes others for dead; without it,
-    /// for comparison alone, time-outs are what they are, and those of a stop come due at its end.
+    /// Whether to use the local health score (Lifeguard), and to contact a suspect directly before it is
+    /// declared dead. Without it, which is meant for comparison only, time-outs are constant and those of a
+    /// stop all come due at its end.
     pub local_health: bool,
 }
 
 impl Settings {
-    /// The usual ones: a probe a second, 300 ms for its answer (peers' messages take up to 14 ms each way), as many
-    /// members as are kept at all.
+    /// The default settings: one probe a second, 300 ms for its ack (a datagram takes up to 14 ms each way),
+    /// and up to [`MAX_MEMBERS`] members.
     pub fn with_defaults(cluster: &str, fleet_size: usize) -> Self {
         Settings {
             cluster: cluster.into(),
@@ -51,10 +54,11 @@
     }
 }
 
-/// SWIM's settings for a fleet of so many members. What a node sends is the same at every size.
-pub(super) fn config(settings: &Settings, members: usize) -> foca::Config {
-    let factors = (members as f64).log10().max(1.0);
-    let few = |frequency, num_members| {
+/// Foca's configuration for a view of `members` members. How much a node sends does not depend on that
+/// number.
+pub(super) fn foca_config(settings: &Settings, members: usize) -> foca::Config {
+    let log_members = (members as f64).log10().max(1.0);
+    let periodic = |frequency, num_members| {
         let num_members = NonZeroUsize::new(num_members).unwrap_or(NonZeroUsize::MIN);
         Some(PeriodicParams { frequency, num_members })
     };
@@ -63,12 +67,12 @@
         probe_rtt: settings.probe_timeout,
         num_indirect_probes: INDIRECT_PROBES,
         max_transmissions: MAX_TRANSMISSIONS,
-        suspect_to_down_after: settings.probe_period.mul_f64(SUSPICION_PERIODS * factors),
+        suspect_to_down_after: settings.probe_period.mul_f64(SUSPICION_PERIODS * log_members),
         remove_down_after: TOMBSTONE_TTL,
-        max_packet_size: NonZeroUsize::new(BODY).unwrap_or(NonZeroUsize::MIN),
+        max_packet_size: NonZeroUsize::new(MAX_BODY_BYTES).unwrap_or(NonZeroUsize::MIN),
         notify_down_members: true,
-        periodic_announce: few(settings.probe_period * 30, 1),
-        periodic_announce_to_down_members: few(settings.probe_period * 5, 2),
-        periodic_gossip: few(settings.probe_period / 4, 2),
+        periodic_announce: periodic(settings.probe_period * 30, 1),
+        periodic_announce_to_down_members: periodic(settings.probe_period * 5, 2),
+        periodic_gossip: periodic(settings.probe_period / 4, 2),
     }
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,76 +1,81 @@
-//! A datagram between members: a fixed head, and SWIM's own message. Whatever does not fit is named and dropped.
+//! The format of datagrams between members: a header of fixed size, then a body, mostly a SWIM message. A
+//! datagram that can't be accepted is dropped, and counted by the reason in [`Rejected`].
 
 use crate::identity::{Identity, Phase};
 
-/// No datagram is longer (the protocol's bound).
+/// The greatest length of a datagram, set by the platform's protocol.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// What of it the head takes.
-pub const HEAD: usize = 30;
-/// The most that SWIM's message may take.
-pub const BODY: usize = MAX_DATAGRAM_BYTES - HEAD;
+/// The length of the header.
+pub const HEADER_BYTES: usize = 30;
+/// The greatest length of a body.
+pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES;
 
+/// The offset in the header of the byte that says of what kind the body is.
+pub const KIND_OFFSET: usize = 3;
+
+/// The first byte of every datagram.
 const MAGIC: u8 = 0xc7;
-/// The format of head and body.
-const FORMAT: u8 = 1;
+/// The version of the format of header and body.
+const FORMAT_VERSION: u8 = 1;
 
-/// Why a datagram is dropped.
+/// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Rejected {
-    /// It is longer than any may be.
+    /// It is longer than [`MAX_DATAGRAM_BYTES`].
     #[error("longer than a datagram may be")]
     TooLong,
-    /// It ends before it should.
+    /// It ends too early.
     #[error("cut off")]
     Truncated,
-    /// It is nothing of this kind.
+    /// It is not a datagram of this protocol, or there is no room left to track its sender.
     #[error("not a datagram of this kind")]
     Garbage,
-    /// It has another format.
+    /// It has another version of the format.
     #[error("another version of the format")]
     Version,
     /// It belongs to another cluster.
     #[error("of another cluster")]
     Foreign,
-    /// It has come before.
+    /// It was received before, is too old to tell, or comes from an earlier start of its sender.
     #[error("come before")]
     Replayed,
-    /// Its sender bears this node's name.
+    /// Its sender, or a member that it names, is another process with this node's name.
     #[error("from a process that bears this node's name")]
     SameName,
 }
 
-/// The head of a datagram.
+/// The header of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
-    /// Which cluster it belongs to: a hash of its name.
+pub struct Header {
+    /// A hash of the cluster's name.
     pub cluster: u64,
-    /// Which of its sender's datagrams it is, in that life.
+    /// The datagram's sequence number, counted from the start of the sender's process.
     pub sequence: u64,
-    /// The digest of its sender's view.
+    /// The digest of the sender's view.
     pub digest: u64,
-    /// Members in that view.
+    /// The number of members in that view.
     pub members: u16,
-    /// What its sender is about.
+    /// The sender's phase.
     pub phase: Phase,
 }
 
-/// FNV-1a: the same everywhere.
-pub fn hash(bytes: &[u8]) -> u64 {
+/// The 64-bit FNV-1a hash, which is the same on every platform and in every version.
+pub fn fnv1a(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
     })
 }
 
-impl Head {
-    /// The whole datagram. The body is no longer than [`BODY`]: SWIM's messages are bounded by it.
-    pub fn write(&self, body: &[u8]) -> Vec<u8> {
-        let mut data = Vec::with_capacity(HEAD + body.len());
+impl Header {
+    /// Encodes a whole datagram. The caller bounds the body by [`MAX_BODY_BYTES`], as foca does its messages.
+    pub fn encode(&self, body: &[u8]) -> Vec<u8> {
+        let mut data = Vec::with_capacity(HEADER_BYTES + body.len());
         let phase = match self.phase {
             Phase::Joining => 0,
             Phase::Active => 1,
             Phase::Leaving => 2,
         };
-        data.extend([MAGIC, FORMAT, phase, 0]);
+        data.extend([MAGIC, FORMAT_VERSION, phase, 0]);
         data.extend(self.cluster.to_be_bytes());
         data.extend(self.sequence.to_be_bytes());
         data.extend(self.digest.to_be_bytes());
@@ -79,45 +84,45 @@
         data
     }
 
-    /// The head of a datagram of this cluster, and its body.
-    pub fn read(data: &[u8], cluster: u64) -> Result<(Head, &[u8]), Rejected> {
+    /// Decodes the header of a datagram of this cluster, and returns it with the body.
+    pub fn decode(data: &[u8], cluster: u64) -> Result<(Header, &[u8]), Rejected> {
         if data.len() > MAX_DATAGRAM_BYTES {
             return Err(Rejected::TooLong);
         }
-        let (head, body) = data.split_at_checked(HEAD).ok_or(Rejected::Truncated)?;
-        let number = |at: usize| u64::from_be_bytes(std::array::from_fn(|i| head[at + i]));
-        if head[0] != MAGIC {
+        let (bytes, body) = data.split_at_checked(HEADER_BYTES).ok_or(Rejected::Truncated)?;
+        let number = |offset: usize| u64::from_be_bytes(std::array::from_fn(|i| bytes[offset + i]));
+        if bytes[0] != MAGIC {
             return Err(Rejected::Garbage);
         }
-        if head[1] != FORMAT {
+        if bytes[1] != FORMAT_VERSION {
             return Err(Rejected::Version);
         }
-        let phase = match head[2] {
+        let phase = match bytes[2] {
             0 => Phase::Joining,
             1 => Phase::Active,
             2 => Phase::Leaving,
             _ => return Err(Rejected::Garbage),
         };
-        let head = Head {
+        let header = Header {
             cluster: number(4),
             sequence: number(12),
             digest: number(20),
-            members: u16::from_be_bytes([head[28], head[29]]),
+            members: u16::from_be_bytes([bytes[28], bytes[29]]),
             phase,
         };
-        if head.cluster != cluster {
+        if header.cluster != cluster {
             return Err(Rejected::Foreign);
         }
-        Ok((head, body))
+        Ok((header, body))
     }
 }
 
-/// The sender of a body: SWIM's messages begin with it.
-pub fn sender(body: &[u8]) -> Result<Identity, Rejected> {
+/// Decodes the sender's identity, with which every body begins.
+pub fn decode_sender(body: &[u8]) -> Result<Identity, Rejected> {
     postcard::take_from_bytes(body).map(|(sender, _)| sender).map_err(decode_error)
 }
 
-/// Why a body could not be read.
+/// The reason for dropping a datagram whose body can't be decoded.
 pub fn decode_error(error: postcard::Error) -> Rejected {
     match error {
         postcard::Error::DeserializeUnexpectedEnd => Rejected::Truncated,
@@ -125,27 +130,29 @@
     }
 }
 
-/// Which of a sender's datagrams have come: the latest, and the 64 before it.
+/// A replay window: which of a sender's datagrams were received, out of the latest one and the 64 before it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Window {
+pub struct ReplayWindow {
     latest: u64,
-    before: u64,
+    /// A bit for each of the 64 sequence numbers before `latest`, the nearest in the lowest bit.
+    earlier: u64,
 }
 
-impl Window {
-    /// Notes a datagram; false if it has come before, or is so old that nobody can tell.
+impl ReplayWindow {
+    /// Records a sequence number. Returns whether it is new: false if it was received before, or is too old
+    /// for the window.
     pub fn is_new(&mut self, sequence: u64) -> bool {
         if sequence > self.latest {
-            let by = sequence - self.latest;
-            self.before = if by >= 64 { 0 } else { self.before << by | 1 << (by - 1) };
+            let shift = sequence - self.latest;
+            self.earlier = if shift >= 64 { 0 } else { self.earlier << shift | 1 << (shift - 1) };
             self.latest = sequence;
             return true;
         }
-        let back = self.latest - sequence;
-        let bit = if (1..=64).contains(&back) { 1 << (back - 1) } else { 0 };
-        let new = bit != 0 && self.before & bit == 0;
-        self.before |= bit;
-        new
+        let age = self.latest - sequence;
+        let bit = if (1..=64).contains(&age) { 1 << (age - 1) } else { 0 };
+        let is_new = bit != 0 && self.earlier & bit == 0;
+        self.earlier |= bit;
+        is_new
     }
 }
 
--- a/crates/fleet/tests/fault_scenarios.rs
+++ b/crates/fleet/tests/fault_scenarios.rs
@@ -1,292 +1,316 @@
-//! The hard cases of membership, each by its promise, on a network in virtual time.
+//! What membership promises in each kind of fault, on a simulated network in virtual time.
 
 mod sim_network;
 
 use hillpick_fleet::{Address, Cause, Certainty, Membership, Output, Rejected, Settings};
 use rand::Rng;
-use sim_network::{Net, name, s};
+use sim_network::{SimNetwork, name, secs};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// After faults end, all hold the same view within this, at these sizes, in s: the time in which a suspicion ripens
-/// at 30 nodes (3 s), the calls at those taken for dead (every 5 s, two of them), and as much again.
-const BOUND: f64 = 30.0;
+/// The seconds within which all views converge after faults end, at the sizes used here: the suspicion
+/// timeout at 30 nodes (3 s), the announcements to members declared dead (every 5 s, to two of them), and as
+/// much again.
+const CONVERGENCE_BOUND_S: f64 = 30.0;
 
 #[test]
-fn a_cut_in_half_makes_two_minorities_and_heals() {
-    let mut net = Net::settled(12, 1);
-    net.cut = Box::new(|from, to| (from < 6) != (to < 6));
-    net.run(20.0);
+fn an_even_partition_makes_two_minorities_and_heals() {
+    let mut network = SimNetwork::settled(12, 1);
+    network.is_cut = Box::new(|from, to| (from < 6) != (to < 6));
+    network.run(20.0);
     for node in 0..12 {
-        let agreement = net.agreement(node);
+        let agreement = network.agreement(node);
         assert_eq!((agreement.members, agreement.certainty), (6, Certainty::Minority));
-        assert_eq!(agreement.could_be_alive, 12, "nobody takes the other half for dead");
+        assert_eq!(agreement.could_be_alive, 12, "neither half counts the other as dead");
     }
-    net.cut = Box::new(|_, _| false);
-    net.converges(BOUND);
-    // What others said before counts for ten periods, and agreement has to last for three.
-    net.certainties();
-    net.run(15.0);
-    net.certainties();
-    net.run(5.0);
-    assert!(net.certainties().iter().all(|certainty| *certainty == Certainty::Agreed));
+    network.is_cut = Box::new(|_, _| false);
+    network.converge_within(CONVERGENCE_BOUND_S);
+    // Digests received before count for ten periods, and the views must have agreed for three.
+    network.certainties();
+    network.run(15.0);
+    network.certainties();
+    network.run(5.0);
+    assert!(network.certainties().iter().all(|certainty| *certainty == Certainty::Agreed));
 }
 
 #[test]
-fn one_way_loss_between_two_nodes_kills_nobody() {
-    let mut net = Net::settled(12, 2);
-    let since = net.now;
-    net.cut = Box::new(|from, to| (from, to) == (3, 5));
-    net.run(40.0);
-    assert_eq!(net.changes(since, Cause::Failed), BTreeMap::new(), "others probe in their stead");
+fn one_way_loss_between_two_nodes_causes_no_false_death() {
+    let mut network = SimNetwork::settled(12, 2);
+    let since = network.now;
+    network.is_cut = Box::new(|from, to| (from, to) == (3, 5));
+    network.run(40.0);
+    assert_eq!(
+        network.changes(since, Cause::Failed),
+        BTreeMap::new(),
+        "indirect probes still reach the member"
+    );
 }
 
 #[test]
-fn a_node_that_nobody_hears_is_out_and_comes_back() {
-    let mut net = Net::settled(12, 3);
-    net.cut = Box::new(|from, _| from == 4);
-    net.run(20.0);
+fn a_node_that_nobody_receives_from_is_removed_and_rejoins() {
+    let mut network = SimNetwork::settled(12, 3);
+    network.is_cut = Box::new(|from, _| from == 4);
+    network.run(20.0);
     for node in (0..12).filter(|node| *node != 4) {
-        assert_eq!(net.agreement(node).members, 11);
+        assert_eq!(network.agreement(node).members, 11);
     }
-    net.cut = Box::new(|_, _| false);
-    net.converges(BOUND);
+    network.is_cut = Box::new(|_, _| false);
+    network.converge_within(CONVERGENCE_BOUND_S);
 }
 
 #[test]
-fn seven_in_ten_killed_at_once_and_back() {
-    let mut net = Net::settled(30, 4);
-    (0..21).for_each(|node| net.kill(node));
-    net.run(5.0);
-    assert!(net.used() <= 1.0, "nine nodes that see a minority use no more than their parts of thirty");
-    net.run(4.0);
-    (0..21).for_each(|node| net.start(node));
-    net.converges(BOUND);
+fn seven_in_ten_nodes_are_killed_at_once_and_rejoin() {
+    let mut network = SimNetwork::settled(30, 4);
+    (0..21).for_each(|node| network.kill(node));
+    network.run(5.0);
+    assert!(
+        network.total_use() <= 1.0,
+        "nine nodes with minority views use no more than their parts of thirty"
+    );
+    network.run(4.0);
+    (0..21).for_each(|node| network.start(node));
+    network.converge_within(CONVERGENCE_BOUND_S);
 }
 
 #[test]
-fn all_restart_at_once_with_saved_lists_some_of_them_stale() {
-    let mut net = Net::settled(20, 5);
-    (0..20).for_each(|node| net.kill(node));
-    net.run(3.0);
+fn all_nodes_restart_at_once_with_saved_seeds_some_of_them_stale() {
+    let mut network = SimNetwork::settled(20, 5);
+    (0..20).for_each(|node| network.kill(node));
+    network.run(3.0);
     for node in 0..20 {
-        // A third of the lists holds only addresses at which nobody is any more, and one's own.
+        // A third of the nodes have only seeds at which no node is any more, and their own address.
         let seeds = (0..20).filter(|number| number % 2 == node % 2 || node % 5 == 0);
         let mut seeds: Vec<_> = seeds.map(|number| Address::Node(number as u16)).collect();
         if node % 3 == 1 {
             seeds = vec![Address::Node(900), Address::Node(901), Address::Node(node as u16)];
         }
-        net.start_with(node, seeds);
+        network.start_with_seeds(node, seeds);
     }
-    // Those with dead lists know nobody, and are found by those who know their addresses.
-    net.converges(2.0 * BOUND);
+    // Nodes with only stale seeds are found by the nodes that have their addresses.
+    network.converge_within(2.0 * CONVERGENCE_BOUND_S);
 }
 
 #[test]
-fn three_hundred_join_within_a_second() {
-    let mut net = Net::new(300, 6);
+fn three_hundred_nodes_that_join_within_a_second_converge() {
+    let mut network = SimNetwork::new(300, 6);
     for node in 0..300 {
-        net.start(node);
-        net.run(1.0 / 300.0);
+        network.start(node);
+        network.run(1.0 / 300.0);
     }
-    net.converges(BOUND);
+    network.converge_within(CONVERGENCE_BOUND_S);
 }
 
 #[test]
-fn a_node_that_flaps_costs_nobody_else_a_place() {
-    let mut net = Net::settled(12, 7);
-    let since = net.now;
+fn a_flapping_node_causes_no_other_member_to_be_declared_dead() {
+    let mut network = SimNetwork::settled(12, 7);
+    let since = network.now;
     for _ in 0..10 {
-        net.kill(0);
-        net.run(3.0);
-        net.start(0);
-        net.run(3.0);
+        network.kill(0);
+        network.run(3.0);
+        network.start(0);
+        network.run(3.0);
     }
-    let failed = net.changes(since, Cause::Failed);
-    assert!(failed.keys().all(|who| *who == name(0)), "{failed:?}");
-    net.converges(BOUND);
+    let failed = network.changes(since, Cause::Failed);
+    assert!(failed.keys().all(|member| *member == name(0)), "{failed:?}");
+    network.converge_within(CONVERGENCE_BOUND_S);
 }
 
-/// It wakes with ten seconds' timers due and a full inbox: it doubts itself and takes nobody for dead.
+/// After a stop a node has ten seconds of timers due and a full inbox. It must blame itself, by its local
+/// health score, and not declare the others dead.
 #[test]
-fn a_stopped_node_doubts_itself_when_it_goes_on() {
-    let mut net = Net::settled(12, 8);
-    let since = net.now;
-    net.nodes[2].stopped_until = net.now + s(10.0);
-    net.run(10.2);
-    let health = net.nodes[2].core.as_ref().map(|core| core.health().score());
+fn a_node_that_was_stopped_degrades_its_local_health_and_declares_nobody_dead() {
+    let mut network = SimNetwork::settled(12, 8);
+    let since = network.now;
+    network.nodes[2].stopped_until = network.now + secs(10.0);
+    network.run(10.2);
+    let health = network.nodes[2].core.as_ref().map(|core| core.health().score());
     assert!(health >= Some(4), "{health:?}");
-    net.run(20.0);
-    let own =
-        net.nodes[2].changes.iter().filter(|(at, change)| *at >= since && change.cause == Cause::Failed);
-    assert_eq!(own.count(), 0, "it declares nobody dead");
-    net.converges(BOUND);
-    assert_eq!(net.nodes[2].core.as_ref().map(|core| core.health().score()), Some(0));
+    network.run(20.0);
+    let declared =
+        network.nodes[2].changes.iter().filter(|(at, change)| *at >= since && change.cause == Cause::Failed);
+    assert_eq!(declared.count(), 0, "it declares nobody dead");
+    network.converge_within(CONVERGENCE_BOUND_S);
+    assert_eq!(network.nodes[2].core.as_ref().map(|core| core.health().score()), Some(0));
 }
 
-/// Its wall clock went back by an hour before it started anew: at its own address, it is still the later life.
+/// A node's wall clock steps forward by an hour before it restarts: the restart is accepted with its new
+/// start time.
 #[test]
-fn a_clock_step_of_an_hour_keeps_nobody_out() {
-    let mut net = Net::settled(6, 9);
-    net.nodes[1].identity.started_ms += 3_600_000;
-    net.kill(1);
-    net.start(1);
-    net.converges(BOUND);
-    // Forward steps are nothing; what went back is a life that others know to be older than the one they hold.
-    let held = net.nodes[0].core.as_ref().map(|core| core.members(net.now));
-    let started = held.unwrap().into_iter().find(|member| member.identity.name == name(1)).unwrap();
-    assert_eq!(started.identity.started_ms, net.nodes[1].identity.started_ms);
+fn a_clock_that_steps_forward_by_an_hour_keeps_no_node_out() {
+    let mut network = SimNetwork::settled(6, 9);
+    network.nodes[1].identity.started_ms += 3_600_000;
+    network.kill(1);
+    network.start(1);
+    network.converge_within(CONVERGENCE_BOUND_S);
+    // A later start always replaces an earlier one; only a start that lies before the known one is refused.
+    let members = network.nodes[0].core.as_ref().map(|core| core.members(network.now));
+    let restarted = members.unwrap().into_iter().find(|member| member.identity.name == name(1)).unwrap();
+    assert_eq!(restarted.identity.started_ms, network.nodes[1].identity.started_ms);
 }
 
-/// Its wall clock went back by an hour, and nothing tells it when it ran before but those who still probe that life.
+/// A node's wall clock is set back by an hour before it restarts, and it has no saved start. Its new start
+/// lies before the one that the others know, so that they would ignore it; it learns of that start from those
+/// that still probe it.
 #[test]
-fn a_clock_set_back_by_an_hour_keeps_nobody_out() {
-    for waits in [0.5, 20.0] {
-        let mut net = Net::new(6, 22);
-        net.nodes[1].identity.started_ms += 7_200_000;
-        (0..6).for_each(|node| net.start(node));
-        net.converges(BOUND);
-        net.kill(1);
-        net.run(waits);
-        net.nodes[1].identity.started_ms -= 3_600_000;
-        let addresses = net.addresses();
-        net.start_as_it_is(1, addresses);
-        net.converges(BOUND);
-        assert!(!net.nodes[1].displaced);
-        let core = net.nodes[1].core.as_ref().unwrap();
+fn a_clock_set_back_by_an_hour_keeps_no_node_out() {
+    for downtime_s in [0.5, 20.0] {
+        let mut network = SimNetwork::new(6, 22);
+        network.nodes[1].identity.started_ms += 7_200_000;
+        (0..6).for_each(|node| network.start(node));
+        network.converge_within(CONVERGENCE_BOUND_S);
+        network.kill(1);
+        network.run(downtime_s);
+        network.nodes[1].identity.started_ms -= 3_600_000;
+        let addresses = network.addresses();
+        network.start_with_clock_as_is(1, addresses);
+        network.converge_within(CONVERGENCE_BOUND_S);
+        assert!(!network.nodes[1].displaced);
+        let core = network.nodes[1].core.as_ref().unwrap();
         assert!(
-            core.local_identity().started_ms > net.nodes[1].identity.started_ms + 3_599_000,
-            "after its earlier life"
+            core.local_identity().started_ms > network.nodes[1].identity.started_ms + 3_599_000,
+            "its start moves after its earlier one"
         );
     }
 }
 
-/// At two fifths lost each way nearly half of all probes fail, by way of others too: a suspect is called before it is dead.
+/// With two fifths of datagrams lost each way, nearly half of all probes fail, indirect ones included.
+/// Suspects are therefore contacted directly before they are declared dead.
 #[test]
-fn a_suspect_that_answers_a_call_is_not_taken_for_dead() {
+fn a_suspect_that_answers_a_direct_contact_is_not_declared_dead() {
     let deaths = |local_health: bool| {
-        let mut net = Net::new(30, 23);
-        net.settings.local_health = local_health;
-        (0..30).for_each(|node| net.start(node));
-        net.converges(60.0);
-        let since = net.now;
-        net.loss = 0.4;
-        net.run(120.0);
-        let spared: u64 = net
+        let mut network = SimNetwork::new(30, 23);
+        network.settings.local_health = local_health;
+        (0..30).for_each(|node| network.start(node));
+        network.converge_within(60.0);
+        let since = network.now;
+        network.loss = 0.4;
+        network.run(120.0);
+        let cleared: u64 = network
             .live()
             .iter()
-            .map(|node| net.nodes[*node].core.as_ref().unwrap().counters().suspicions_cleared)
+            .map(|node| network.nodes[*node].core.as_ref().unwrap().counters().suspicions_cleared)
             .sum();
-        (net.changes(since, Cause::Failed).values().sum::<usize>(), spared)
+        (network.changes(since, Cause::Failed).values().sum::<usize>(), cleared)
     };
-    let (with, spared) = deaths(true);
+    let (with, cleared) = deaths(true);
     let (without, _) = deaths(false);
-    assert!(spared > 0 && without >= 10 && with * 5 <= without, "{with} deaths, {without} without");
+    assert!(
+        cleared > 0 && without >= 10 && with * 5 <= without,
+        "{with} deaths with local health, {without} without"
+    );
 }
 
-/// A newcomer reads the list in pages, in a few periods; by gossip alone it takes several times as long.
+/// A newcomer reads the member list in pages within a few periods; by gossip alone it would take several
+/// times as long.
 #[test]
-fn a_newcomer_reads_the_whole_list_at_once() {
-    let mut net = Net::settled(200, 24);
-    net.kill(7);
-    net.run(20.0);
-    net.start(7);
-    net.run(3.0);
-    assert_eq!(net.agreement(7).members, 200);
+fn a_newcomer_learns_of_all_members_within_three_seconds() {
+    let mut network = SimNetwork::settled(200, 24);
+    network.kill(7);
+    network.run(20.0);
+    network.start(7);
+    network.run(3.0);
+    assert_eq!(network.agreement(7).members, 200);
 }
 
 #[test]
-fn the_same_name_at_a_new_address_and_the_same_address_with_a_new_name() {
-    let mut net = Net::settled(8, 10);
-    net.kill(3);
-    net.nodes[3].identity.address = Address::Node(700);
-    net.start(3);
-    net.converges(BOUND);
-    net.kill(4);
-    net.nodes[4].identity.name = name(90);
-    net.start(4);
-    net.converges(BOUND);
+fn a_name_may_move_to_a_new_address_and_an_address_to_a_new_name() {
+    let mut network = SimNetwork::settled(8, 10);
+    network.kill(3);
+    network.nodes[3].identity.address = Address::Node(700);
+    network.start(3);
+    network.converge_within(CONVERGENCE_BOUND_S);
+    network.kill(4);
+    network.nodes[4].identity.name = name(90);
+    network.start(4);
+    network.converge_within(CONVERGENCE_BOUND_S);
 }
 
 #[test]
-fn a_list_of_dead_seeds_only_is_survived_if_another_knows_the_way() {
-    let mut net = Net::settled(6, 11);
-    net.kill(5);
-    net.run(15.0);
-    net.start_with(5, vec![Address::Node(800), Address::Node(801)]);
-    net.converges(2.0 * BOUND);
+fn a_node_with_only_stale_seeds_joins_if_another_has_its_address() {
+    let mut network = SimNetwork::settled(6, 11);
+    network.kill(5);
+    network.run(15.0);
+    network.start_with_seeds(5, vec![Address::Node(800), Address::Node(801)]);
+    network.converge_within(2.0 * CONVERGENCE_BOUND_S);
 }
 
-/// Of two processes with one name the later is the member; the earlier says who, and stays out. Nobody flaps.
+/// Of two processes with one name the later one is the member. The earlier one reports which process
+/// displaced it and stays out, so that the two don't replace each other again and again.
 #[test]
-fn two_processes_that_claim_one_name() {
-    let mut net = Net::settled(8, 12);
-    let twin = clone_of(&net, 2, Address::Node(600));
-    net.nodes.push(twin);
-    net.start(8);
-    net.run(20.0);
-    assert!(net.nodes[2].displaced && !net.nodes[8].displaced);
-    let since = net.now;
-    net.run(30.0);
-    let moved: usize = [Cause::Failed, Cause::Returned, Cause::Joined, Cause::Left]
-        .map(|cause| net.changes(since, cause).values().sum::<usize>())
+fn of_two_processes_with_one_name_only_the_later_is_a_member() {
+    let mut network = SimNetwork::settled(8, 12);
+    let duplicate = clone_of(&network, 2, Address::Node(600));
+    network.nodes.push(duplicate);
+    network.start(8);
+    network.run(20.0);
+    assert!(network.nodes[2].displaced && !network.nodes[8].displaced);
+    let since = network.now;
+    network.run(30.0);
+    let changes: usize = [Cause::Failed, Cause::Returned, Cause::Joined, Cause::Left]
+        .map(|cause| network.changes(since, cause).values().sum::<usize>())
         .into_iter()
         .sum();
-    assert_eq!(moved, 0, "nobody flaps");
-    net.converges(BOUND);
+    assert_eq!(changes, 0, "no member flaps");
+    network.converge_within(CONVERGENCE_BOUND_S);
 }
 
-fn clone_of(net: &Net, node: usize, address: Address) -> sim_network::Node {
-    let mut other = Net::new(1, 1).nodes.remove(0);
-    other.identity = net.nodes[node].identity.clone();
-    other.identity.address = address;
-    other
+/// A node with the identity of another, at another address.
+fn clone_of(network: &SimNetwork, node: usize, address: Address) -> sim_network::Node {
+    let mut clone = SimNetwork::new(1, 1).nodes.remove(0);
+    clone.identity = network.nodes[node].identity.clone();
+    clone.identity.address = address;
+    clone
 }
 
 #[test]
-fn loss_of_up_to_a_fifth_doubles_and_disorder_kill_nobody() {
-    for (seed, loss, twice) in [(13, 0.01, 0.0), (14, 0.05, 0.1), (15, 0.2, 0.3)] {
-        let mut net = Net::settled(20, seed);
-        let since = net.now;
-        (net.loss, net.twice) = (loss, twice);
-        net.run(60.0);
-        let failed: usize = net.changes(since, Cause::Failed).values().sum();
+fn loss_up_to_a_fifth_duplicates_and_reordering_cause_no_false_death() {
+    for (seed, loss, duplication) in [(13, 0.01, 0.0), (14, 0.05, 0.1), (15, 0.2, 0.3)] {
+        let mut network = SimNetwork::settled(20, seed);
+        let since = network.now;
+        (network.loss, network.duplication) = (loss, duplication);
+        network.run(60.0);
+        let failed: usize = network.changes(since, Cause::Failed).values().sum();
         assert_eq!(failed, 0, "loss {loss}");
-        let rejected: u64 = net
+        let rejected: u64 = network
             .live()
             .iter()
             .filter_map(|node| {
-                net.nodes[*node].core.as_ref()?.counters().rejected.get(&Rejected::Replayed).copied()
+                network.nodes[*node].core.as_ref()?.counters().rejected.get(&Rejected::Replayed).copied()
             })
             .sum();
-        assert_eq!(rejected > 0, twice > 0.0, "what comes twice is dropped, and nothing else is");
+        assert_eq!(rejected > 0, duplication > 0.0, "only duplicates are rejected as replays");
     }
 }
 
 #[test]
-fn one_in_twenty_starved_nodes_kill_nobody() {
-    let mut net = Net::settled(20, 16);
-    let since = net.now;
-    net.nodes[7].slow = Duration::from_millis(40);
-    net.run(60.0);
-    let failed: usize =
-        net.changes(since, Cause::Failed).into_iter().filter(|(who, _)| *who != name(7)).map(|f| f.1).sum();
+fn a_starved_node_in_twenty_causes_no_false_death_of_others() {
+    let mut network = SimNetwork::settled(20, 16);
+    let since = network.now;
+    network.nodes[7].event_delay = Duration::from_millis(40);
+    network.run(60.0);
+    let failed: usize = network
+        .changes(since, Cause::Failed)
+        .into_iter()
+        .filter(|(member, _)| *member != name(7))
+        .map(|f| f.1)
+        .sum();
     assert_eq!(failed, 0);
 }
 
 #[test]
-fn leaving_is_told_apart_from_failing() {
-    let mut net = Net::settled(12, 17);
-    let since = net.now;
-    net.leave(5);
-    net.kill(6);
-    net.converges(BOUND);
-    net.run(5.0);
-    // Who hears of a leave after that somebody is gone sets it right.
-    assert_eq!(net.changes(since, Cause::Left).get(&name(5)), Some(&10));
-    for node in net.live() {
-        let core = net.nodes[node].core.as_ref().unwrap();
-        let mut gone: Vec<_> = core.departed(net.now).map(|(who, cause, _)| (who.name, cause)).collect();
+fn a_graceful_leave_is_told_apart_from_a_failure() {
+    let mut network = SimNetwork::settled(12, 17);
+    let since = network.now;
+    network.leave(5);
+    network.kill(6);
+    network.converge_within(CONVERGENCE_BOUND_S);
+    network.run(5.0);
+    // A node that learns of the leave after it has removed the member corrects the cause.
+    assert_eq!(network.changes(since, Cause::Left).get(&name(5)), Some(&10));
+    for node in network.live() {
+        let core = network.nodes[node].core.as_ref().unwrap();
+        let mut gone: Vec<_> =
+            core.departed(network.now).map(|(member, cause, _)| (member.name, cause)).collect();
         gone.sort_by_key(|a| a.0);
         assert_eq!(gone, [(name(5), Cause::Left), (name(6), Cause::Failed)], "{node}");
         assert_eq!((core.counters().left, core.counters().failed), (1, 1));
@@ -294,21 +318,22 @@
 }
 
 #[test]
-fn a_leave_that_is_lost_is_a_failure_like_any_other() {
-    let mut net = Net::settled(12, 18);
-    net.cut = Box::new(|from, _| from == 5);
-    net.leave(5);
-    net.cut = Box::new(|_, _| false);
-    net.converges(BOUND);
+fn a_leave_whose_datagrams_are_lost_is_detected_as_a_failure() {
+    let mut network = SimNetwork::settled(12, 18);
+    network.is_cut = Box::new(|from, _| from == 5);
+    network.leave(5);
+    network.is_cut = Box::new(|_, _| false);
+    network.converge_within(CONVERGENCE_BOUND_S);
 }
 
-/// What is no datagram of this cluster changes nothing and is counted by why.
+/// Datagrams that don't belong to this cluster change nothing, and are counted by the reason for dropping
+/// them.
 #[test]
-fn whatever_comes_is_counted_and_dropped() {
-    let mut net = Net::settled(3, 19);
-    let mut other = Net::new(3, 20);
+fn invalid_datagrams_are_dropped_and_counted_by_reason() {
+    let mut network = SimNetwork::settled(3, 19);
+    let mut other = SimNetwork::new(3, 20);
     other.settings.cluster = "another".into();
-    let (now, mut out) = (net.now, Vec::new());
+    let (now, mut out) = (network.now, Vec::new());
     let mut foreign = Membership::new(
         other.nodes[1].identity.clone(),
         other.settings.clone(),
@@ -316,16 +341,16 @@
         1,
         now,
     );
-    foreign.tick(now + s(1.0), &mut out);
-    let Some(Output::Send { data: foreign, .. }) = out.pop() else { panic!("a call") };
-    let mut random = net.random.clone();
-    let core = net.nodes[0].core.as_mut().unwrap();
+    foreign.tick(now + secs(1.0), &mut out);
+    let Some(Output::Send { data: foreign, .. }) = out.pop() else { panic!("expected a hello to the seed") };
+    let mut random = network.random.clone();
+    let core = network.nodes[0].core.as_mut().unwrap();
     let before = core.members(now).len();
     for _ in 0..2000 {
         let length = random.random_range(0..300);
         let noise: Vec<u8> = (0..length).map(|_| random.random()).collect();
         core.receive(now, &noise, &mut out);
-        // A head that is right, and a body that is not.
+        // A valid header with an invalid body.
         let mut noise = noise;
         noise.splice(0..noise.len().min(30), []);
         let mut data = foreign[..30].to_vec();
@@ -335,20 +360,20 @@
     core.receive(now, &foreign, &mut out);
     assert_eq!(core.members(now).len(), before);
     let rejected = &core.counters().rejected;
-    for why in [Rejected::TooLong, Rejected::Truncated, Rejected::Garbage, Rejected::Foreign] {
-        assert!(rejected.get(&why).is_some_and(|count| *count > 0), "{why:?}: {rejected:?}");
+    for reason in [Rejected::TooLong, Rejected::Truncated, Rejected::Garbage, Rejected::Foreign] {
+        assert!(rejected.get(&reason).is_some_and(|count| *count > 0), "{reason:?}: {rejected:?}");
     }
 }
 
-/// More names than are kept: the rest is dropped, and what is kept stays.
+/// With more names in the fleet than a node may keep, it keeps up to its limit and drops the rest.
 #[test]
-fn no_more_members_than_the_bound_are_kept() {
-    let mut net = Net::new(12, 21);
-    net.settings = Settings { max_members: 5, ..net.settings.clone() };
-    (0..12).for_each(|node| net.start(node));
-    net.run(30.0);
-    for node in net.live() {
-        let held = net.nodes[node].core.as_ref().unwrap().members(net.now).len();
+fn no_more_members_than_the_limit_are_kept() {
+    let mut network = SimNetwork::new(12, 21);
+    network.settings = Settings { max_members: 5, ..network.settings.clone() };
+    (0..12).for_each(|node| network.start(node));
+    network.run(30.0);
+    for node in network.live() {
+        let held = network.nodes[node].core.as_ref().unwrap().members(network.now).len();
         assert!((1..=5).contains(&held), "{held}");
     }
 }
--- a/crates/fleet/tests/full_view.rs
+++ b/crates/fleet/tests/full_view.rs
@@ -1,26 +1,28 @@
-//! A node that holds as many members as it may.
+//! A node whose view holds as many members as it may.
 
 mod peers_stub;
 
 use hillpick_fleet::Settings;
-use peers_stub::Stub;
+use peers_stub::PeersStub;
 
-/// News of those that it holds is still taken in, by gossip and by pages; who is one too many is not.
+/// A full view still applies updates on the members that it holds, by gossip and by pages, and rejects a
+/// member beyond its limit. It guards against dropping any datagram that names a known member once the view
+/// is full.
 #[test]
-fn a_full_view_still_hears_of_its_members() {
+fn a_full_view_still_applies_updates_on_its_members() {
     let settings = Settings { max_members: 20, ..Settings::with_defaults("size", 21) };
-    let mut stub = Stub::with(20, settings).settle();
+    let mut stub = PeersStub::with_settings(20, settings).settle();
     let before = stub.view_version();
-    let news = stub.restart(7);
-    assert_eq!(stub.gossip(3, &[news]), 1);
-    assert_ne!(stub.view_version(), before, "a member that has started anew is in another life");
-    assert_eq!(stub.known(), 20);
+    let update = stub.restart(7);
+    assert_eq!(stub.gossip(3, &[update]), 1);
+    assert_ne!(stub.view_version(), before, "the restart is applied from gossip");
+    assert_eq!(stub.known_peers(), 20);
     let before = stub.view_version();
     stub.restart(8);
-    stub.page(3, 8..9);
-    assert_ne!(stub.view_version(), before, "and so by a page");
+    stub.send_page(3, 8..9);
+    assert_ne!(stub.view_version(), before, "the restart is applied from a page");
     let before = stub.view_version();
-    let stranger = stub.stranger();
-    stub.gossip(3, &[stranger]);
-    assert_eq!((stub.view_version(), stub.known()), (before, 20));
+    let unknown = stub.unknown_member();
+    stub.gossip(3, &[unknown]);
+    assert_eq!((stub.view_version(), stub.known_peers()), (before, 20));
 }
--- a/crates/fleet/tests/peers_stub/mod.rs
+++ b/crates/fleet/tests/peers_stub/mod.rs
@@ -1,6 +1,7 @@
-//! One real member among many that are played: each answers probes and calls as a member would, holds the same view,
-//! and tells what the caller wants told. So one core is measured at sizes at which thousands of cores would not fit.
-#![allow(dead_code)] // each user has its own part of this
+//! One real member among many stub peers. The stubs answer probes and hellos as members would, report the
+//! same view as the real member, and send the updates that the caller wants sent. That allows to measure one
+//! core in fleets of which thousands of cores would not fit into memory.
+#![allow(dead_code)] // each user needs a part of this module
 
 use foca::{Codec, Header, Message, PostcardCodec};
 use hillpick_fleet::{Address, Identity, MAX_DATAGRAM_BYTES, Membership, Name, Output, Settings};
@@ -10,18 +11,19 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::{Duration, Instant};
 
-/// The head of a datagram, and where in it the kind of its body stands.
-const HEAD: usize = 30;
-const KIND: usize = 3;
-const SWIM: u8 = 0;
-const HELLO: u8 = 1;
-const WELCOME: u8 = 2;
-const PAGE: u8 = 4;
+/// The length of a datagram's header.
+const HEADER_BYTES: usize = 30;
+/// The offset in the header of the kind of the body.
+const KIND_OFFSET: usize = 3;
+const KIND_SWIM: u8 = 0;
+const KIND_HELLO: u8 = 1;
+const KIND_WELCOME: u8 = 2;
+const KIND_PAGE: u8 = 4;
 const CLUSTER: &str = "size";
-/// Where the real member stands among the names.
-const REAL: usize = 0;
+/// The index of the real member among the identities.
+const REAL_MEMBER: usize = 0;
 
-/// Times that were measured.
+/// Calls that were measured, and the time that they took together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
     pub calls: u32,
@@ -29,40 +31,42 @@
 }
 
 impl Cost {
-    fn add(&mut self, since: Instant) {
+    fn add_call(&mut self, started: Instant) {
         self.calls += 1;
-        self.time += since.elapsed();
+        self.time += started.elapsed();
     }
 
-    /// In µs.
+    /// The mean time of a call, in µs.
     pub fn mean_us(&self) -> f64 {
         self.time.as_secs_f64() * 1e6 / f64::from(self.calls.max(1))
     }
 }
 
-/// What a span of virtual time cost.
+/// The real member's costs over a span of virtual time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Costs {
     pub tick: Cost,
-    pub hear: Cost,
+    pub receive: Cost,
     pub sent: u64,
     pub sent_bytes: u64,
-    pub heard_bytes: u64,
+    pub received_bytes: u64,
 }
 
-/// A member's life, as gossip tells it.
+/// A SWIM update on a member.
 #[derive(Clone, Debug)]
-pub struct News(pub foca::Member<Identity>);
+pub struct Update(pub foca::Member<Identity>);
 
-pub struct Stub {
+/// The real member with its stub peers.
+pub struct PeersStub {
     pub core: Membership,
     pub now: Duration,
     pub costs: Costs,
-    lives: Vec<Identity>,
-    numbers: HashMap<Address, usize>,
+    /// The identities of all, the real member's at [`REAL_MEMBER`].
+    identities: Vec<Identity>,
+    index_by_address: HashMap<Address, usize>,
     sequence: u64,
     random: Pcg64Mcg,
-    cluster: u64,
+    cluster_hash: u64,
 }
 
 fn identity(number: usize) -> Identity {
@@ -77,219 +81,226 @@
     }
 }
 
-/// FNV-1a, as in a datagram's head.
-fn hash(bytes: &[u8]) -> u64 {
+/// FNV-1a, as in a datagram's header.
+fn fnv1a(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
     })
 }
 
-impl Stub {
-    /// A member that knows nobody yet, and so many others that are played.
-    pub fn new(others: usize) -> Self {
-        let settings = Settings::with_defaults(CLUSTER, others + 1);
-        Stub::with(others, settings)
+impl PeersStub {
+    /// A member that knows no other yet, and `peers` stub peers.
+    pub fn new(peers: usize) -> Self {
+        let settings = Settings::with_defaults(CLUSTER, peers + 1);
+        PeersStub::with_settings(peers, settings)
     }
 
     /// The same, with other settings.
-    pub fn with(others: usize, settings: Settings) -> Self {
-        let mut lives: Vec<_> = (0..=others).map(identity).collect();
-        // In the midst of the names, as most are.
-        lives[REAL].name = Name::try_from(format!("node-{:05}-real", others / 2)).expect("a name");
-        let seeds = lives.iter().map(|life| life.address).collect();
+    pub fn with_settings(peers: usize, settings: Settings) -> Self {
+        let mut identities: Vec<_> = (0..=peers).map(identity).collect();
+        // A name in the middle of the order, as for most members.
+        identities[REAL_MEMBER].name = Name::try_from(format!("node-{:05}-real", peers / 2)).expect("a name");
+        let seeds = identities.iter().map(|identity| identity.address).collect();
         let now = Duration::from_secs(1000);
-        Stub {
-            core: Membership::new(lives[REAL].clone(), settings, seeds, 7, now),
+        PeersStub {
+            core: Membership::new(identities[REAL_MEMBER].clone(), settings, seeds, 7, now),
             now,
             costs: Costs::default(),
-            numbers: lives.iter().enumerate().map(|(number, life)| (life.address, number)).collect(),
-            lives,
+            index_by_address: identities
+                .iter()
+                .enumerate()
+                .map(|(index, identity)| (identity.address, index))
+                .collect(),
+            identities,
             sequence: 0,
             random: Pcg64Mcg::seed_from_u64(7),
-            cluster: hash(CLUSTER.as_bytes()),
+            cluster_hash: fnv1a(CLUSTER.as_bytes()),
         }
     }
 
-    /// The same, knowing all, and having heard each of them.
-    pub fn settled(others: usize) -> Self {
-        Stub::new(others).settle()
+    /// The same, with a real member that knows all peers and has received a datagram from each.
+    pub fn settled(peers: usize) -> Self {
+        PeersStub::new(peers).settle()
     }
 
-    /// Lets it know all, and hear each of them.
+    /// Makes all peers known to the real member, and sends it a datagram from each.
     pub fn settle(mut self) -> Self {
-        let others = self.lives.len() - 1;
+        let peers = self.identities.len() - 1;
         let stub = &mut self;
-        for first in (1..=others).step_by(4) {
-            let last = (first + 4).min(others + 1);
-            stub.page(1, first..last);
+        for first in (1..=peers).step_by(4) {
+            let last = (first + 4).min(peers + 1);
+            stub.send_page(1, first..last);
         }
-        for number in 1..=others {
-            stub.tell(number, &[]);
+        for peer in 1..=peers {
+            stub.probe(peer, &[]);
         }
-        assert_eq!(stub.known(), others, "all are known");
-        // What the joining itself had to pass on is passed on.
+        assert_eq!(stub.known_peers(), peers, "all peers are known");
+        // Until the updates of the join have been passed on.
         stub.run(60.0, |_, _| {});
-        assert_eq!(stub.known(), others, "and stay so");
+        assert_eq!(stub.known_peers(), peers, "all peers are still known");
         self
     }
 
-    /// Members that the core knows, without itself.
-    pub fn known(&mut self) -> usize {
+    /// How many members the core knows, without itself.
+    pub fn known_peers(&mut self) -> usize {
         self.core.agreement(self.now).members - 1
     }
 
-    /// Changes when a member comes, goes or is in another life.
+    /// A number that changes whenever a member joins, goes or restarts.
     pub fn view_version(&self) -> u64 {
         self.core.view_version()
     }
 
-    /// Somebody whom nobody has heard of.
-    pub fn stranger(&self) -> News {
-        News(foca::Member::new(identity(self.lives.len()), 0, foca::State::Alive))
+    /// An update on a member that is not among the peers.
+    pub fn unknown_member(&self) -> Update {
+        Update(foca::Member::new(identity(self.identities.len()), 0, foca::State::Alive))
     }
 
-    /// A later life of one of the others, which nobody knows of yet.
-    pub fn restart(&mut self, number: usize) -> News {
-        self.lives[number].started_ms += 60_000;
-        self.alive(number)
+    /// Restarts a peer, and returns the update that says so.
+    pub fn restart(&mut self, peer: usize) -> Update {
+        self.identities[peer].started_ms += 60_000;
+        self.alive(peer)
     }
 
-    /// That one of the others lives.
-    pub fn alive(&self, number: usize) -> News {
-        News(foca::Member::new(self.lives[number].clone(), 0, foca::State::Alive))
+    /// The update that a peer is alive.
+    pub fn alive(&self, peer: usize) -> Update {
+        Update(foca::Member::new(self.identities[peer].clone(), 0, foca::State::Alive))
     }
 
-    /// One of the others, at random.
-    pub fn any(&mut self) -> usize {
-        self.random.random_range(1..self.lives.len())
+    /// A random peer.
+    pub fn random_peer(&mut self) -> usize {
+        self.random.random_range(1..self.identities.len())
     }
 
+    /// A datagram from a peer to the real member.
     fn datagram(&mut self, kind: u8, body: &[u8]) -> Vec<u8> {
         self.sequence += 1;
         let digest = self.core.agreement(self.now).digest;
         let mut data = vec![0xc7, 1, 1, 0];
-        data[KIND] = kind;
-        data.extend(self.cluster.to_be_bytes());
+        data[KIND_OFFSET] = kind;
+        data.extend(self.cluster_hash.to_be_bytes());
         data.extend(self.sequence.to_be_bytes());
         data.extend(digest.to_be_bytes());
-        data.extend((self.lives.len() as u16).to_be_bytes());
+        data.extend((self.identities.len() as u16).to_be_bytes());
         data.extend(body);
         assert!(data.len() <= MAX_DATAGRAM_BYTES, "a datagram of {} bytes", data.len());
         data
     }
 
-    /// A page with some of the others' list.
-    pub fn page(&mut self, sender: usize, members: std::ops::Range<usize>) {
-        let mut body = postcard::to_allocvec(&self.lives[sender]).expect("a body");
+    /// Sends a page with some of the peers as the last page of a peer's list.
+    pub fn send_page(&mut self, from: usize, members: std::ops::Range<usize>) {
+        let mut body = postcard::to_allocvec(&self.identities[from]).expect("a body");
         body.push(1);
-        for number in members {
-            body.extend(postcard::to_allocvec(&(&self.lives[number], 0u16)).expect("a body"));
+        for member in members {
+            body.extend(postcard::to_allocvec(&(&self.identities[member], 0u16)).expect("a body"));
         }
-        let data = self.datagram(PAGE, &body);
-        self.give(&data);
+        let data = self.datagram(KIND_PAGE, &body);
+        self.deliver(&data);
     }
 
-    /// SWIM's message from one of the others, with as much of the news as fits behind it; returns how much that was.
-    fn swim(&mut self, from: usize, message: Message<Identity>, news: &[News]) -> usize {
-        let (src, dst) = (self.lives[from].clone(), self.core.local_identity().clone());
+    /// Sends a SWIM message from a peer with as many of the updates as fit; returns how many that were.
+    fn send_swim(&mut self, from: usize, message: Message<Identity>, updates: &[Update]) -> usize {
+        let (src, dst) = (self.identities[from].clone(), self.core.local_identity().clone());
         let mut body = Vec::new();
         let header = Header { src, src_incarnation: 0, dst, message };
         PostcardCodec.encode_header(&header, &mut body).expect("a header");
-        let count = body.len();
+        let count_offset = body.len();
         body.extend([0; 2]);
-        let mut told = 0;
-        for News(member) in news {
+        let mut sent = 0;
+        for Update(member) in updates {
             let before = body.len();
             PostcardCodec.encode_member(member, &mut body).expect("a member");
-            if HEAD + body.len() > MAX_DATAGRAM_BYTES {
+            if HEADER_BYTES + body.len() > MAX_DATAGRAM_BYTES {
                 body.truncate(before);
                 break;
             }
-            told += 1;
+            sent += 1;
         }
-        body[count..count + 2].copy_from_slice(&(told as u16).to_be_bytes());
-        let data = self.datagram(SWIM, &body);
-        self.give(&data);
-        told
+        body[count_offset..count_offset + 2].copy_from_slice(&(sent as u16).to_be_bytes());
+        let data = self.datagram(KIND_SWIM, &body);
+        self.deliver(&data);
+        sent
     }
 
-    /// One of the others probes, and tells news with it.
-    pub fn tell(&mut self, from: usize, news: &[News]) -> usize {
-        self.swim(from, Message::Ping(Default::default()), news)
+    /// Sends a probe from a peer with updates; returns how many of them fitted.
+    pub fn probe(&mut self, from: usize, updates: &[Update]) -> usize {
+        self.send_swim(from, Message::Ping(Default::default()), updates)
     }
 
-    /// One of the others gossips.
-    pub fn gossip(&mut self, from: usize, news: &[News]) -> usize {
-        self.swim(from, Message::Gossip, news)
+    /// Sends gossip from a peer with updates; returns how many of them fitted.
+    pub fn gossip(&mut self, from: usize, updates: &[Update]) -> usize {
+        self.send_swim(from, Message::Gossip, updates)
     }
 
-    fn give(&mut self, data: &[u8]) {
+    /// Delivers a datagram to the real member, and answers what it sends.
+    fn deliver(&mut self, data: &[u8]) {
         let mut out = Vec::new();
-        let begun = Instant::now();
+        let started = Instant::now();
         self.core.receive(self.now, data, &mut out);
-        self.costs.hear.add(begun);
-        self.costs.heard_bytes += data.len() as u64;
+        self.costs.receive.add_call(started);
+        self.costs.received_bytes += data.len() as u64;
         self.answer(out);
     }
 
-    /// The others answer what is asked of them, at once.
+    /// Answers the real member's probes and hellos at once, as its peers.
     fn answer(&mut self, out: Vec<Output>) {
         for output in out {
             let Output::Send { to, data } = output else { continue };
             self.costs.sent += 1;
             self.costs.sent_bytes += data.len() as u64;
-            let Some(&to) = self.numbers.get(&to) else { continue };
-            match data[KIND] {
-                SWIM => {
+            let Some(&to) = self.index_by_address.get(&to) else { continue };
+            match data[KIND_OFFSET] {
+                KIND_SWIM => {
                     let header: Header<Identity> =
-                        PostcardCodec.decode_header(&data[HEAD..]).expect("a header");
+                        PostcardCodec.decode_header(&data[HEADER_BYTES..]).expect("a header");
                     if let Message::Ping(number) = header.message {
-                        self.swim(to, Message::Ack(number), &[]);
+                        self.send_swim(to, Message::Ack(number), &[]);
                     }
                 }
-                HELLO => {
-                    let body = postcard::to_allocvec(&self.lives[to]).expect("a body");
-                    let data = self.datagram(WELCOME, &body);
-                    self.give(&data);
+                KIND_HELLO => {
+                    let body = postcard::to_allocvec(&self.identities[to]).expect("a body");
+                    let data = self.datagram(KIND_WELCOME, &body);
+                    self.deliver(&data);
                 }
                 _ => {}
             }
         }
     }
 
-    /// Lets time pass, in which one of the others probes this one in each second; `each` second begins with that.
-    pub fn run(&mut self, seconds: f64, mut each: impl FnMut(&mut Stub, u32)) {
+    /// Advances the virtual time. In each second `each_second` is called, and a random peer probes the real
+    /// member.
+    pub fn run(&mut self, seconds: f64, mut each_second: impl FnMut(&mut PeersStub, u32)) {
         let end = self.now + Duration::from_secs_f64(seconds);
         let mut second = 0;
-        let mut next = self.now;
+        let mut next_second_at = self.now;
         loop {
-            let wake = self.core.wake_at().unwrap_or(end);
-            if wake.min(next) >= end {
+            let wake_at = self.core.wake_at().unwrap_or(end);
+            if wake_at.min(next_second_at) >= end {
                 break;
             }
-            if next <= wake {
-                self.now = self.now.max(next);
-                each(self, second);
-                let from = self.any();
-                self.tell(from, &[]);
+            if next_second_at <= wake_at {
+                self.now = self.now.max(next_second_at);
+                each_second(self, second);
+                let from = self.random_peer();
+                self.probe(from, &[]);
                 second += 1;
-                next += Duration::from_secs(1);
+                next_second_at += Duration::from_secs(1);
                 continue;
             }
-            self.now = self.now.max(wake);
+            self.now = self.now.max(wake_at);
             let mut out = Vec::new();
-            let begun = Instant::now();
+            let started = Instant::now();
             self.core.tick(self.now, &mut out);
-            self.costs.tick.add(begun);
+            self.costs.tick.add_call(started);
             self.answer(out);
         }
         self.now = end;
     }
 
-    /// The costs of what is done.
-    pub fn measure(&mut self, what: impl FnOnce(&mut Stub)) -> Costs {
+    /// Runs an action and returns its costs.
+    pub fn measure(&mut self, action: impl FnOnce(&mut PeersStub)) -> Costs {
         self.costs = Costs::default();
-        what(self);
+        action(self);
         self.costs
     }
 }
--- a/crates/fleet/tests/sim_network/mod.rs
+++ b/crates/fleet/tests/sim_network/mod.rs
@@ -1,6 +1,6 @@
-//! Members on a network in virtual time: datagrams are late, lost, doubled or cut off, nodes die, start anew, stand still
-//! or starve. Everything comes from one seed.
-#![allow(dead_code)] // each test file uses its own part of this
+//! Members on a simulated network in virtual time. Datagrams are delayed, lost, duplicated or cut off; nodes
+//! are killed, restarted, stopped or starved of processor time. All randomness comes from one seed.
+#![allow(dead_code)] // each test file uses a part of this module
 
 use hillpick_fleet::{Address, Cause, Certainty, Change, Identity, Membership, Name, Output, Settings};
 use rand::{Rng, SeedableRng};
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-pub fn s(seconds: f64) -> Duration {
+pub fn secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
@@ -17,51 +17,56 @@
     Name::try_from(format!("n{node}")).unwrap()
 }
 
-/// Something that reaches a node.
+/// An event at a node.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Ev {
-    Data(Vec<u8>),
+enum Event {
+    Datagram(Vec<u8>),
     Tick,
 }
 
+/// A simulated node.
 pub struct Node {
     pub core: Option<Membership>,
     pub identity: Identity,
-    /// Nothing is done until then; what comes waits.
+    /// The node handles no event until then; events wait.
     pub stopped_until: Duration,
-    /// Each event takes so long to be got to.
-    pub slow: Duration,
+    /// How long the node takes for each event, before it handles the next one.
+    pub event_delay: Duration,
     pub changes: Vec<(Duration, Change)>,
     pub displaced: bool,
-    life: u64,
-    wake: Option<Duration>,
-    /// By observer's own view: the latest life seen of each name, which may never go back.
-    latest: BTreeMap<Name, (u64, u16)>,
-    /// Changes that its present life has seen begin here.
-    born: usize,
+    /// Counts starts and kills, so that events for an earlier process are dropped.
+    process: u64,
+    wake_at: Option<Duration>,
+    /// For each name the latest start in this node's view, which may never be replaced by an earlier one.
+    latest_starts: BTreeMap<Name, (u64, u16)>,
+    /// The index of the first change that the present process has seen.
+    first_change: usize,
 }
 
-/// When, in which order, where, in which life, and what.
-type Entry = Reverse<(Duration, u64, usize, u64, Ev)>;
+/// A queued event: when it is due, its sequence number, the node, the node's process, and the event.
+type QueuedEvent = Reverse<(Duration, u64, usize, u64, Event)>;
 
-type Cut = Box<dyn Fn(usize, usize) -> bool>;
+type LinkFilter = Box<dyn Fn(usize, usize) -> bool>;
 
-pub struct Net {
+/// The simulated network with its nodes.
+pub struct SimNetwork {
     pub now: Duration,
     pub nodes: Vec<Node>,
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    pub twice: f64,
-    /// From and to: whether what is sent is gone.
-    pub cut: Cut,
+    /// The share of datagrams that are sent twice.
+    pub duplication: f64,
+    /// Whether datagrams from the first node to the second are lost.
+    pub is_cut: LinkFilter,
     pub random: Pcg64Mcg,
     pub settings: Settings,
     pub bytes: u64,
-    queue: BinaryHeap<Entry>,
-    order: u64,
+    queue: BinaryHeap<QueuedEvent>,
+    last_sequence: u64,
 }
 
-impl Net {
-    /// So many nodes with a number each, none of which runs yet.
+impl SimNetwork {
+    /// Numbered nodes, none of which runs yet.
     pub fn new(nodes: usize, seed: u64) -> Self {
         let node = |number: usize| Node {
             core: None,
@@ -74,73 +79,76 @@
                 program_version: 1,
             },
             stopped_until: Duration::ZERO,
-            slow: Duration::ZERO,
+            event_delay: Duration::ZERO,
             changes: Vec::new(),
             displaced: false,
-            life: 0,
-            wake: None,
-            latest: BTreeMap::new(),
-            born: 0,
+            process: 0,
+            wake_at: None,
+            latest_starts: BTreeMap::new(),
+            first_change: 0,
         };
-        Net {
-            now: s(1000.0),
+        SimNetwork {
+            now: secs(1000.0),
             nodes: (0..nodes).map(node).collect(),
             loss: 0.01,
-            twice: 0.0,
-            cut: Box::new(|_, _| false),
+            duplication: 0.0,
+            is_cut: Box::new(|_, _| false),
             random: Pcg64Mcg::seed_from_u64(seed),
             settings: Settings::with_defaults("test", nodes),
             bytes: 0,
             queue: BinaryHeap::new(),
-            order: 0,
+            last_sequence: 0,
         }
     }
 
-    /// The same, all running and of one mind.
+    /// The same, with all nodes running and their views converged.
     pub fn settled(nodes: usize, seed: u64) -> Self {
-        let mut net = Net::new(nodes, seed);
-        (0..nodes).for_each(|node| net.start(node));
-        net.converges(60.0);
-        net
+        let mut network = SimNetwork::new(nodes, seed);
+        (0..nodes).for_each(|node| network.start(node));
+        network.converge_within(60.0);
+        network
     }
 
-    fn push(&mut self, at: Duration, node: usize, ev: Ev) {
-        self.order += 1;
-        let life = self.nodes[node].life;
-        self.queue.push(Reverse((at, self.order, node, life, ev)));
+    fn push(&mut self, at: Duration, node: usize, event: Event) {
+        self.last_sequence += 1;
+        let process = self.nodes[node].process;
+        self.queue.push(Reverse((at, self.last_sequence, node, process, event)));
     }
 
-    /// A node starts; its seeds are all other addresses.
+    /// Starts a node with the addresses of all nodes as its seeds.
     pub fn start(&mut self, node: usize) {
-        self.start_with(node, self.addresses());
+        self.start_with_seeds(node, self.addresses());
     }
 
-    /// The addresses that all know.
+    /// The addresses of all nodes, by their numbers.
     pub fn addresses(&self) -> Vec<Address> {
         (0..self.nodes.len()).map(|number| Address::Node(number as u16)).collect()
     }
 
-    pub fn start_with(&mut self, node: usize, seeds: Vec<Address>) {
-        let it = &mut self.nodes[node];
-        it.identity.started_ms = it.identity.started_ms.max(self.now.as_millis() as u64 + it.life + 1);
-        self.start_as_it_is(node, seeds);
+    /// Starts a node, later by its wall clock than it started before.
+    pub fn start_with_seeds(&mut self, node: usize, seeds: Vec<Address>) {
+        let host = &mut self.nodes[node];
+        host.identity.started_ms =
+            host.identity.started_ms.max(self.now.as_millis() as u64 + host.process + 1);
+        self.start_with_clock_as_is(node, seeds);
     }
 
-    /// A node starts, whenever its clock may say that this is.
-    pub fn start_as_it_is(&mut self, node: usize, seeds: Vec<Address>) {
+    /// Starts a node without adjusting the start that its identity says.
+    pub fn start_with_clock_as_is(&mut self, node: usize, seeds: Vec<Address>) {
         let seed = self.random.random();
-        let it = &mut self.nodes[node];
-        it.life += 1;
-        it.core = Some(Membership::new(it.identity.clone(), self.settings.clone(), seeds, seed, self.now));
-        (it.wake, it.displaced) = (None, false);
-        it.latest.clear();
-        it.born = it.changes.len();
+        let host = &mut self.nodes[node];
+        host.process += 1;
+        host.core =
+            Some(Membership::new(host.identity.clone(), self.settings.clone(), seeds, seed, self.now));
+        (host.wake_at, host.displaced) = (None, false);
+        host.latest_starts.clear();
+        host.first_change = host.changes.len();
         self.set_wake(node);
     }
 
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].core = None;
-        self.nodes[node].life += 1;
+        self.nodes[node].process += 1;
     }
 
     pub fn leave(&mut self, node: usize) {
@@ -153,12 +161,12 @@
     }
 
     fn set_wake(&mut self, node: usize) {
-        let it = &mut self.nodes[node];
-        let wake = it.core.as_ref().and_then(Membership::wake_at);
-        if let Some(at) = wake.filter(|at| it.wake.is_none_or(|set| *at < set)) {
-            it.wake = Some(at);
+        let host = &mut self.nodes[node];
+        let wake_at = host.core.as_ref().and_then(Membership::wake_at);
+        if let Some(at) = wake_at.filter(|at| host.wake_at.is_none_or(|set| *at < set)) {
+            host.wake_at = Some(at);
             let at = at.max(self.now);
-            self.push(at, node, Ev::Tick);
+            self.push(at, node, Event::Tick);
         }
     }
 
@@ -169,13 +177,13 @@
                     assert!(data.len() <= 256, "a datagram of {} bytes", data.len());
                     self.bytes += data.len() as u64;
                     let receiver =
-                        self.nodes.iter().position(|it| it.identity.address == to && it.core.is_some());
-                    let Some(to) = receiver.filter(|to| !(self.cut)(node, *to)) else { continue };
-                    let copies = 1 + usize::from(self.random.random::<f64>() < self.twice);
+                        self.nodes.iter().position(|host| host.identity.address == to && host.core.is_some());
+                    let Some(to) = receiver.filter(|to| !(self.is_cut)(node, *to)) else { continue };
+                    let copies = 1 + usize::from(self.random.random::<f64>() < self.duplication);
                     for _ in 0..copies {
                         if self.random.random::<f64>() >= self.loss {
-                            let late = s((1.1 + 12.9 * self.random.random::<f64>()) / 1e3);
-                            self.push(self.now + late, to, Ev::Data(data.clone()));
+                            let delay = secs((1.1 + 12.9 * self.random.random::<f64>()) / 1e3);
+                            self.push(self.now + delay, to, Event::Datagram(data.clone()));
                         }
                     }
                 }
@@ -183,18 +191,18 @@
                 Output::Displaced(_) => self.nodes[node].displaced = true,
             }
         }
-        self.check(node);
+        self.check_starts(node);
     }
 
-    /// Of a name's lives a node never goes back to an earlier one.
-    fn check(&mut self, node: usize) {
+    /// Asserts that a node's view never goes back from a start of a name to an earlier one.
+    fn check_starts(&mut self, node: usize) {
         let now = self.now;
-        let it = &mut self.nodes[node];
-        let Some(core) = &it.core else { return };
-        for (_, change) in it.changes[it.born..].iter().rev().take(3) {
+        let host = &mut self.nodes[node];
+        let Some(core) = &host.core else { return };
+        for (_, change) in host.changes[host.first_change..].iter().rev().take(3) {
             if matches!(change.cause, Cause::Joined | Cause::Returned) {
-                let life = (change.member.started_ms, change.member.renewed);
-                let latest = it.latest.entry(change.member.name).or_insert(life);
+                let start = (change.member.started_ms, change.member.renewed);
+                let latest = host.latest_starts.entry(change.member.name).or_insert(start);
                 let held =
                     core.members(now).into_iter().find(|member| member.identity.name == change.member.name);
                 if let Some(held) = held {
@@ -206,32 +214,32 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub fn run(&mut self, seconds: f64) {
-        let end = self.now + s(seconds);
+        let end = self.now + secs(seconds);
         while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= end) {
-            let Some(Reverse((at, _, node, life, ev))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, node, process, event))) = self.queue.pop() else { break };
             self.now = self.now.max(at);
-            let it = &mut self.nodes[node];
-            if it.life != life || it.core.is_none() {
+            let host = &mut self.nodes[node];
+            if host.process != process || host.core.is_none() {
                 continue;
             }
-            if it.stopped_until > self.now {
-                let until = it.stopped_until;
-                self.push(until, node, ev);
+            if host.stopped_until > self.now {
+                let until = host.stopped_until;
+                self.push(until, node, event);
                 continue;
             }
-            if !it.slow.is_zero() {
-                // It is got to when what came before it has been done.
-                it.stopped_until = self.now + it.slow;
+            if !host.event_delay.is_zero() {
+                // The next event waits until this one has been handled.
+                host.stopped_until = self.now + host.event_delay;
             }
             let now = self.now;
             let mut out = Vec::new();
-            if let Some(core) = &mut it.core {
-                match ev {
-                    Ev::Data(data) => core.receive(now, &data, &mut out),
-                    Ev::Tick => {
-                        it.wake = None;
+            if let Some(core) = &mut host.core {
+                match event {
+                    Event::Datagram(data) => core.receive(now, &data, &mut out),
+                    Event::Tick => {
+                        host.wake_at = None;
                         core.tick(now, &mut out);
                     }
                 }
@@ -242,23 +250,25 @@
         self.now = end;
     }
 
+    /// The nodes that run and are not displaced.
     pub fn live(&self) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|node| self.nodes[*node].core.is_some() && !self.nodes[*node].displaced)
             .collect()
     }
 
-    /// What is not yet as it should be: every live node holds exactly the live ones.
-    fn amiss(&mut self) -> Option<String> {
+    /// The first difference from converged views, in which every live node knows exactly the live ones;
+    /// `None` if converged.
+    fn divergence(&mut self) -> Option<String> {
         let live = self.live();
         let views: Vec<_> = live.iter().map(|node| (*node, self.agreement(*node))).collect();
         let first = views.first()?.1;
         for (node, view) in &views {
             if view.members != live.len() {
-                return Some(format!("{node} holds {} members, and {} live", view.members, live.len()));
+                return Some(format!("{node} knows {} members, and {} are live", view.members, live.len()));
             }
             if view.digest != first.digest {
-                return Some(format!("{node} holds other lives than {}", views[0].0));
+                return Some(format!("{node} knows other starts than {}", views[0].0));
             }
         }
         for node in &live {
@@ -267,25 +277,26 @@
                 core.members(self.now).into_iter().map(|member| member.identity.name).collect();
             for other in &live {
                 if other != node && !held.contains(&self.nodes[*other].identity.name) {
-                    return Some(format!("{node} does not know {other}, which lives"));
+                    return Some(format!("{node} does not know {other}, which is live"));
                 }
             }
         }
         None
     }
 
-    /// Waits until every live node holds exactly the live ones, with one digest; returns how long that took in s.
-    pub fn converges(&mut self, within: f64) -> f64 {
-        let begun = self.now;
+    /// Runs until every live node knows exactly the live ones, with one digest, and asserts that this takes
+    /// less than `within` seconds. Returns how many seconds it took.
+    pub fn converge_within(&mut self, within: f64) -> f64 {
+        let started = self.now;
         loop {
-            let took = (self.now - begun).as_secs_f64();
-            match self.amiss() {
+            let took = (self.now - started).as_secs_f64();
+            match self.divergence() {
                 None => break,
-                Some(amiss) => assert!(took < within, "after {took} s: {amiss}"),
+                Some(divergence) => assert!(took < within, "after {took} s: {divergence}"),
             }
             self.run(0.1);
         }
-        (self.now - begun).as_secs_f64()
+        (self.now - started).as_secs_f64()
     }
 
     pub fn agreement(&mut self, node: usize) -> hillpick_fleet::Agreement {
@@ -297,12 +308,13 @@
         self.live().into_iter().map(|node| self.agreement(node).certainty).collect()
     }
 
-    /// What all live nodes may use of a rule that allows 1 in all: each its part of those that it takes to be alive.
-    pub fn used(&mut self) -> f64 {
+    /// What all live nodes together use of a shared limit of 1. Each uses an equal part among the nodes that
+    /// could be alive by its view.
+    pub fn total_use(&mut self) -> f64 {
         self.live().into_iter().map(|node| 1.0 / self.agreement(node).could_be_alive as f64).sum()
     }
 
-    /// Changes since a moment at all live nodes, of a kind, by member.
+    /// How many changes with a cause all live nodes have seen since a time, by the member that changed.
     pub fn changes(&self, since: Duration, cause: Cause) -> BTreeMap<Name, usize> {
         let mut found = BTreeMap::new();
         for node in self.live() {
