--- a/crates/fleet/src/membership/timers.rs
+++ b/crates/fleet/src/membership/timers.rs
@@ -107,9 +107,7 @@
             return Some(timer);
         };
         let sender = self.senders.get(&member_id.name);
-        if sender.is_some_and(|(started_ms, _, received_at)| {
-            *started_ms == member_id.started_ms && *received_at > suspicion.since
-        }) {
+        if sender.is_some_and(|(start, _, at)| *start == member_id.started_ms && *at > suspicion.since) {
             self.counters.suspicions_cleared += 1;
             return None;
         }
--- a/crates/fleet/tests/agreement_model.rs
+++ b/crates/fleet/tests/agreement_model.rs
@@ -156,9 +156,7 @@
             ),
             // Shows that the check of use is not vacuous: a majority may be wrong, so some states use more
             // than the limit.
-            Property::sometimes("more than the limit is in use", |_, state: &State<N>| {
-                state.total_use() > 1.0
-            }),
+            Property::sometimes("the limit is exceeded", |_, state: &State<N>| state.total_use() > 1.0),
             Property::sometimes("a part of the fleet agrees", |_, state: &State<N>| {
                 (0..N).any(|node| state.alive[node] && state.could_be_alive(node) < N)
             }),
