--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,54 +1,57 @@
-//! Several real nodes on the lab's rig, through each fault that processes and paths can show. The judge of the rules is
-//! the emulator's. No figure is expected here but that somebody is served: how well is a matter of the machine.
+//! Several real nodes on the lab's rig, which injects faults into processes and network paths. The rig checks
+//! the same rules as the emulator. Of the figures the tests only expect that some requests are served, since
+//! how many depends on the machine.
 
 use hillpick_lab::judge::Outcome;
 use hillpick_lab::rig::{self, Program, spec::Rig};
 
-/// A node's process, its children's files and its relays, for one test.
-fn play(name: &str, text: &str) -> Outcome {
-    let rig = Rig::parse(name, text).unwrap_or_else(|problem| panic!("{problem}"));
+/// Runs a rig with real node processes in a folder of its own, and checks that it cleans up after itself.
+fn run_rig(name: &str, text: &str) -> Outcome {
+    let rig = Rig::parse(name, text).unwrap_or_else(|error| panic!("{error}"));
     let program = Program { node: env!("CARGO_BIN_EXE_sillward").into(), guard: None };
     let folder = std::env::temp_dir().join(format!("hillpick-fleet-{}-{name}", std::process::id()));
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let outcome =
         runtime.expect("a runtime").block_on(rig::run(&rig, &program, &folder)).expect("a rig that runs");
-    assert!(!folder.exists(), "nothing is left behind");
+    assert!(!folder.exists(), "the rig left files behind");
     outcome
 }
 
-fn keeps_the_rules(name: &str, nodes: usize, servers: usize, seconds: f64, faults: &str) -> Outcome {
+/// Runs a rig with faults, and checks that no rule is broken and that some requests are served.
+fn assert_rules_kept(name: &str, nodes: usize, servers: usize, seconds: f64, faults: &str) -> Outcome {
     let text = format!(
         "name = '{name}'\nabout = 'a test'\nnodes = {nodes}\nservers = {servers}\nseconds = {seconds:?}\n\
          requests_per_s = 40\nwork_ms = 40\nretries = 2\n{faults}"
     );
-    let outcome = play(name, &text);
+    let outcome = run_rig(name, &text);
     assert_eq!(outcome.broken, [], "{name}");
     assert!(outcome.figures["served"] > 0.0, "{name}: {:?}", outcome.figures);
     outcome
 }
 
-fn three(name: &str, faults: &str) -> Outcome {
-    keeps_the_rules(name, 3, 6, 3.0, faults)
+/// The same, with three nodes and six servers.
+fn assert_rules_kept_by_three(name: &str, faults: &str) -> Outcome {
+    assert_rules_kept(name, 3, 6, 3.0, faults)
 }
 
 #[test]
-fn killed_nodes_come_back_and_break_nothing() {
-    three("kill", "[[faults]]\nkind = 'kill'\nat = 1.0\nlasts = 0.5\npart = 0.67");
+fn killed_nodes_restart_within_the_rules() {
+    assert_rules_kept_by_three("kill", "[[faults]]\nkind = 'kill'\nat = 1.0\nlasts = 0.5\npart = 0.67");
 }
 
 #[test]
-fn a_node_told_to_stop_answers_what_it_holds() {
-    three("term", "[[faults]]\nkind = 'term'\nat = 1.0\nlasts = 1.0\npart = 0.67");
+fn a_node_shuts_down_gracefully_within_the_rules() {
+    assert_rules_kept_by_three("term", "[[faults]]\nkind = 'term'\nat = 1.0\nlasts = 1.0\npart = 0.67");
 }
 
 #[test]
-fn a_stopped_node_goes_on_within_the_rules() {
-    three("stop", "[[faults]]\nkind = 'stop'\nat = 1.0\nlasts = 0.7\npart = 0.34");
+fn a_paused_node_resumes_within_the_rules() {
+    assert_rules_kept_by_three("stop", "[[faults]]\nkind = 'stop'\nat = 1.0\nlasts = 0.7\npart = 0.34");
 }
 
 #[test]
-fn servers_that_die_drain_err_or_slow_down_are_survived() {
-    three(
+fn the_rules_hold_while_servers_crash_drain_fail_or_slow_down() {
+    assert_rules_kept_by_three(
         "servers",
         "[[faults]]\nkind = 'crash'\nat = 0.5\nlasts = 1.0\npart = 0.17\n\
          [[faults]]\nkind = 'drain'\nat = 1.0\nlasts = 1.0\npart = 0.34\n\
@@ -57,31 +60,32 @@
     );
 }
 
-/// Each way of going wrong on each path, and each direction by itself.
+/// Every kind of path fault on every path, in both directions and in each alone.
 #[test]
-fn paths_that_delay_hold_drop_and_reset_are_survived() {
+fn the_rules_hold_while_paths_delay_hold_drop_or_reset() {
     let path = |at: f64, between: &str, how: &str, direction: &str| {
         format!(
             "[[faults]]\nkind = 'path'\nat = {at:?}\nlasts = 0.6\npart = 0.34\nbetween = '{between}'\n\
              how = '{how}'\ndirection = '{direction}'\ndelay_ms = 20.0\nloss = 0.2\n"
         )
     };
-    let mut all = String::new();
+    let mut faults = String::new();
     for (i, between) in ["client-node", "node-server", "node-discovery", "node-node"].into_iter().enumerate()
     {
         for (j, how) in ["delay", "hold", "drop", "reset"].into_iter().enumerate() {
             let direction = ["both", "in", "out"][(i + j) % 3];
-            all += &path(0.3 + 0.25 * j as f64 + 0.1 * i as f64, between, how, direction);
+            faults += &path(0.3 + 0.25 * j as f64 + 0.1 * i as f64, between, how, direction);
         }
     }
-    all += &path(0.5, "node-node", "loss", "both");
-    keeps_the_rules("paths", 3, 6, 4.0, &all);
+    faults += &path(0.5, "node-node", "loss", "both");
+    assert_rules_kept("paths", 3, 6, 4.0, &faults);
 }
 
-/// Agents fall silent, return, refuse and return, while servers drain and nodes are killed. What the agents have counts as
-/// told when they return. The longer silences are in experiments/rig.
+/// Discovery agents go silent and recover, then refuse connections and recover, while servers drain and nodes
+/// are killed. The rig takes the agents' list as announced to the nodes once the agents are back. Longer
+/// outages are in experiments/rig.
 #[test]
-fn nodes_whose_agents_fail_send_nothing_to_servers_that_stop() {
+fn nodes_whose_agents_failed_send_nothing_to_terminated_servers() {
     let fault = |kind: &str, at: f64, lasts: f64, part: f64| {
         format!("[[faults]]\nkind = '{kind}'\nat = {at:?}\nlasts = {lasts:?}\npart = {part:?}\n")
     };
@@ -95,15 +99,15 @@
     std::thread::scope(|scope| {
         for (name, form) in [("agents-indented", "indented"), ("agents-bytes", "bytes")] {
             let faults = format!("list_form = '{form}'\n{faults}");
-            scope.spawn(move || keeps_the_rules(name, 3, 6, 5.5, &faults));
+            scope.spawn(move || assert_rules_kept(name, 3, 6, 5.5, &faults));
         }
     });
 }
 
-/// Nodes, servers and paths at once, at more nodes than servers in a zone.
+/// Faults of nodes, servers and paths at once, with more nodes than servers in a zone.
 #[test]
-fn twelve_nodes_go_through_everything_at_once() {
-    let outcome = keeps_the_rules(
+fn twelve_nodes_keep_the_rules_under_all_faults_at_once() {
+    let outcome = assert_rules_kept(
         "twelve",
         12,
         12,
@@ -117,15 +121,15 @@
     assert_eq!(outcome.faults.len(), 4);
 }
 
-/// With membership on: all find one another before the day, and hold one view again after it, or the judge says so.
-fn of_one_mind(name: &str, nodes: usize, faults: &str) {
-    let on = format!("probe_ms = 200\none_view_s = 120.0\n{faults}");
-    keeps_the_rules(name, nodes, nodes, 3.0, &on);
+/// The same with membership: all views have to converge before the run and again after it.
+fn assert_views_converge(name: &str, nodes: usize, faults: &str) {
+    let membership_and_faults = format!("probe_ms = 200\none_view_s = 120.0\n{faults}");
+    assert_rules_kept(name, nodes, nodes, 3.0, &membership_and_faults);
 }
 
 #[test]
-fn killed_and_stopped_members_are_missed_and_found_again() {
-    of_one_mind(
+fn views_converge_after_members_are_killed_or_paused() {
+    assert_views_converge(
         "members-kill",
         4,
         "[[faults]]\nkind = 'kill'\nat = 0.5\nlasts = 1.5\npart = 0.5\n\
@@ -134,21 +138,22 @@
 }
 
 #[test]
-fn a_member_told_to_stop_leaves_and_returns() {
-    of_one_mind("members-term", 3, "[[faults]]\nkind = 'term'\nat = 0.5\nlasts = 1.5\npart = 0.34");
+fn views_converge_after_a_member_leaves_and_returns() {
+    assert_views_converge("members-term", 3, "[[faults]]\nkind = 'term'\nat = 0.5\nlasts = 1.5\npart = 0.34");
 }
 
 #[test]
-fn members_that_a_cut_parts_meet_again() {
-    let cut = "[[faults]]\nkind = 'path'\nat = 0.3\nlasts = 2.0\npart = 1.0\nzone = 'a'\nbetween = 'node-node'\n\
+fn views_converge_after_a_partition() {
+    let fault = "[[faults]]\nkind = 'path'\nat = 0.3\nlasts = 2.0\npart = 1.0\nzone = 'a'\nbetween = 'node-node'\n\
                how = 'drop'\nacross = true";
-    of_one_mind("members-cut", 6, cut);
+    assert_views_converge("members-cut", 6, fault);
 }
 
-/// Nine nodes that go by zones: a third of the servers die and return, the paths of a zone are cut and heal.
+/// Nine nodes that balance by zones: a third of the servers crash and return, and a zone's paths to servers
+/// are cut and heal.
 #[test]
-fn nodes_that_go_by_zones_keep_the_rules() {
-    keeps_the_rules(
+fn nodes_that_balance_by_zones_keep_the_rules() {
+    assert_rules_kept(
         "zones",
         9,
         9,
@@ -160,7 +165,8 @@
     );
 }
 
-/// Where the settings forbid messages between nodes, a configuration that wants them is refused, and says why.
+/// A configuration with membership is refused where the settings forbid messages between nodes, and the error
+/// says why.
 #[test]
 fn membership_is_refused_where_the_settings_forbid_peers() {
     let folder = std::env::temp_dir().join(format!("hillpick-fleet-{}-forbidden", std::process::id()));
@@ -189,9 +195,9 @@
     std::fs::remove_dir_all(&folder).expect("a folder to remove");
 }
 
-/// The judge of the rig is seen to judge: a node that is not there, and a program that is no node.
+/// The rig reports what it can't run: a program that is not a node, and a rig without nodes.
 #[test]
-fn what_is_no_node_does_not_start() {
+fn a_rig_without_working_nodes_is_an_error() {
     let rig =
         Rig::parse("x", "name='x'\nabout='x'\nnodes=1\nservers=1\nseconds=1\nrequests_per_s=1\nwork_ms=10");
     let program = Program { node: "/bin/false".into(), guard: None };
