--- a/crates/fleet/src/state_sync.rs
+++ b/crates/fleet/src/state_sync.rs
@@ -99,7 +99,7 @@
         self.sent <= MAX_PAGES_PER_PERIOD
     }
 
-    /// Moves on past a page that was received; after the last page the next request begins the list anew.
+    /// Moves on past a page that was received; after the last page the next request starts the list over.
     pub fn advance_past(&mut self, page: &Page) {
         self.resume_after = page.members.last().filter(|_| !page.last).map(|(identity, _)| identity.name);
     }
--- a/crates/fleet/src/state_sync/tests.rs
+++ b/crates/fleet/src/state_sync/tests.rs
@@ -36,7 +36,7 @@
     }
     assert_eq!(found, all.into_iter().map(|member| (member, 7)).collect::<Vec<_>>());
     assert!(count <= 17, "{count} pages of 100 members");
-    assert_eq!(sync.resume_after, None, "the next request begins the list anew");
+    assert_eq!(sync.resume_after, None, "the next request starts the list over");
 }
 
 #[test]
--- a/crates/fleet/tests/full_view.rs
+++ b/crates/fleet/tests/full_view.rs
@@ -6,8 +6,7 @@
 use peers_stub::PeersStub;
 
 /// A full view still applies updates on the members that it holds, by gossip and by pages, and rejects a
-/// member beyond its limit. It guards against dropping any datagram that names a known member once the view
-/// is full.
+/// member beyond its limit. Guards against a full view that drops every datagram which names a known member.
 #[test]
 fn a_full_view_still_applies_updates_on_its_members() {
     let settings = Settings { max_members: 20, ..Settings::with_defaults("size", 21) };
--- a/crates/fleet/tests/peers_stub/mod.rs
+++ b/crates/fleet/tests/peers_stub/mod.rs
@@ -1,6 +1,6 @@
 //! One real member among many stub peers. The stubs answer probes and hellos as members would, report the
-//! same view as the real member, and send the updates that the caller wants sent. That allows to measure one
-//! core in fleets of which thousands of cores would not fit into memory.
+//! same view as the real member, and send the updates that the caller wants sent. So one core can be
+//! measured in fleets of which thousands of cores would not fit into memory.
 #![allow(dead_code)] // each user needs a part of this module
 
 use foca::{Codec, Header, Message, PostcardCodec};
@@ -26,7 +26,9 @@
 /// Calls that were measured, and the time that they took together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
+    /// The number of calls.
     pub calls: u32,
+    /// The time of all calls.
     pub time: Duration,
 }
 
@@ -45,10 +47,15 @@
 /// The real member's costs over a span of virtual time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Costs {
+    /// The calls of [`Membership::tick`].
     pub tick: Cost,
+    /// The calls of [`Membership::receive`].
     pub receive: Cost,
+    /// Datagrams sent.
     pub sent: u64,
+    /// The bytes of those datagrams.
     pub sent_bytes: u64,
+    /// The bytes of the datagrams received.
     pub received_bytes: u64,
 }
 
@@ -58,8 +65,11 @@
 
 /// The real member with its stub peers.
 pub struct PeersStub {
+    /// The real member.
     pub core: Membership,
+    /// The virtual time.
     pub now: Duration,
+    /// The real member's costs since the last call of [`PeersStub::measure`] began.
     pub costs: Costs,
     /// The identities of all, the real member's at [`REAL_MEMBER`].
     identities: Vec<Identity>,
--- a/crates/fleet/tests/sim_network/mod.rs
+++ b/crates/fleet/tests/sim_network/mod.rs
@@ -9,10 +9,12 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
+/// A duration in seconds.
 pub fn secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
+/// The name of the node with a number.
 pub fn name(node: usize) -> Name {
     Name::try_from(format!("n{node}")).unwrap()
 }
@@ -26,16 +28,21 @@
 
 /// A simulated node.
 pub struct Node {
+    /// The membership core; none while the node does not run.
     pub core: Option<Membership>,
+    /// The identity with which the node starts.
     pub identity: Identity,
     /// The node handles no event until then; events wait.
     pub stopped_until: Duration,
     /// How long the node takes for each event, before it handles the next one.
     pub event_delay: Duration,
+    /// The changes that all its processes have reported, with the time of each.
     pub changes: Vec<(Duration, Change)>,
+    /// Whether its present process was displaced by another with the same name.
     pub displaced: bool,
     /// Counts starts and kills, so that events for an earlier process are dropped.
     process: u64,
+    /// When the earliest queued tick is due.
     wake_at: Option<Duration>,
     /// For each name the latest start in this node's view, which may never be replaced by an earlier one.
     latest_starts: BTreeMap<Name, (u64, u16)>,
@@ -46,11 +53,14 @@
 /// A queued event: when it is due, its sequence number, the node, the node's process, and the event.
 type QueuedEvent = Reverse<(Duration, u64, usize, u64, Event)>;
 
+/// A predicate on the sending and the receiving node.
 type LinkFilter = Box<dyn Fn(usize, usize) -> bool>;
 
 /// The simulated network with its nodes.
 pub struct SimNetwork {
+    /// The virtual time.
     pub now: Duration,
+    /// The nodes, by number.
     pub nodes: Vec<Node>,
     /// The share of datagrams that are lost.
     pub loss: f64,
@@ -58,8 +68,11 @@
     pub duplication: f64,
     /// Whether datagrams from the first node to the second are lost.
     pub is_cut: LinkFilter,
+    /// The source of all randomness, from the seed.
     pub random: Pcg64Mcg,
+    /// The settings with which nodes start.
     pub settings: Settings,
+    /// The bytes of all datagrams sent.
     pub bytes: u64,
     queue: BinaryHeap<QueuedEvent>,
     last_sequence: u64,
@@ -109,6 +122,7 @@
         network
     }
 
+    /// Queues an event for a node's present process.
     fn push(&mut self, at: Duration, node: usize, event: Event) {
         self.last_sequence += 1;
         let process = self.nodes[node].process;
@@ -146,11 +160,13 @@
         self.set_wake(node);
     }
 
+    /// Ends a node's process without notice.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].core = None;
         self.nodes[node].process += 1;
     }
 
+    /// Lets a node leave gracefully, and ends its process.
     pub fn leave(&mut self, node: usize) {
         let mut out = Vec::new();
         if let Some(core) = &mut self.nodes[node].core {
@@ -160,6 +176,7 @@
         self.kill(node);
     }
 
+    /// Queues a tick for when the node's core next needs one, unless one is queued by then.
     fn set_wake(&mut self, node: usize) {
         let host = &mut self.nodes[node];
         let wake_at = host.core.as_ref().and_then(Membership::wake_at);
@@ -170,6 +187,7 @@
         }
     }
 
+    /// Carries out what a node's core has output.
     fn carry_out(&mut self, node: usize, out: Vec<Output>) {
         for output in out {
             match output {
@@ -299,11 +317,13 @@
         (self.now - started).as_secs_f64()
     }
 
+    /// How far the other members agree with a node's view.
     pub fn agreement(&mut self, node: usize) -> hillpick_fleet::Agreement {
         let now = self.now;
         self.nodes[node].core.as_mut().expect("a node that runs").agreement(now)
     }
 
+    /// How certain each live node can be of its view.
     pub fn certainties(&mut self) -> Vec<Certainty> {
         self.live().into_iter().map(|node| self.agreement(node).certainty).collect()
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -144,9 +144,9 @@
 
 #[test]
 fn views_converge_after_a_partition() {
-    let fault = "[[faults]]\nkind = 'path'\nat = 0.3\nlasts = 2.0\npart = 1.0\nzone = 'a'\nbetween = 'node-node'\n\
+    let cut = "[[faults]]\nkind = 'path'\nat = 0.3\nlasts = 2.0\npart = 1.0\nzone = 'a'\nbetween = 'node-node'\n\
                how = 'drop'\nacross = true";
-    assert_views_converge("members-cut", 6, fault);
+    assert_views_converge("members-cut", 6, cut);
 }
 
 /// Nine nodes that balance by zones: a third of the servers crash and return, and a zone's paths to servers
