--- a/src/control/clock.rs
+++ b/src/control/clock.rs
@@ -1,30 +1,31 @@
-//! The one clock of the node. Nothing below the edge reads another.
+//! The node's clock. Code that needs the time is passed this one, and reads no other.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The one clock: Unix time as it was at the start, carried on by the monotonic clock, so that a backend's
-/// `since_ms` and the times of events are on one scale that never runs backwards.
+/// A monotonic Unix clock: the system time at the start of the process, advanced by the monotonic clock. So a
+/// backend's `since_ms` and the times of events are on one scale that never goes backwards.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
-    unix: Duration,
+    started_unix: Duration,
 }
 
 impl Clock {
-    /// Reads the system clock, once.
+    /// Starts a clock; the system time is read only here.
     pub fn start() -> Self {
-        let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix }
+        let started_unix =
+            std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        Clock { started: Instant::now(), started_unix }
     }
 
-    /// The Unix time now.
+    /// The current Unix time.
     pub fn now(self) -> Duration {
-        self.unix + self.started.elapsed()
+        self.started_unix + self.started.elapsed()
     }
 
-    /// A Unix time as the runtime has it.
-    pub fn instant(self, at: Duration) -> Instant {
-        self.started + at.saturating_sub(self.unix)
+    /// Converts a Unix time to the runtime's [`Instant`].
+    pub fn instant(self, unix: Duration) -> Instant {
+        self.started + unix.saturating_sub(self.started_unix)
     }
 }
--- a/src/control/discovery/chunks.rs
+++ b/src/control/discovery/chunks.rs
@@ -1,117 +1,121 @@
-//! A long list on its way to the node: in slices, so that requests are seen to in between. What ends goes first, since
-//! that binds soonest. All of it is passed on, or none: [`Slices`] outlives the watch that brought it.
+//! Chunked processing of a long list: it is sent to the node in chunks, so that requests are served in
+//! between. Servers that drain or are gone go first, since those changes take effect soonest. A list is sent
+//! whole or not at all: [`PendingChunks`] outlives the watch that brought it.
 
-use super::versions::Versions;
+use super::versions::HeldList;
 use crate::control::updates::Backend;
 use crate::{ServerEntry, ServerId, ServerState};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::ops::Bound;
 
-/// The most entries of a slice. The node takes in as many in well under a millisecond.
-pub const SLICE: usize = 512;
-/// A list that concerns no more servers than this is passed on whole.
-pub const AT_ONCE: usize = 2_000;
+/// The most entries in a chunk. The node applies that many in well under a millisecond.
+pub const CHUNK_ENTRIES: usize = 512;
+/// A list that affects no more servers than this is sent as one update.
+pub const MAX_UNCHUNKED_SERVERS: usize = 2_000;
 
-/// An older list, of which only what is certain counts.
+/// The versions of a stale list, of which only entries that no newer list can contradict are applied.
 #[derive(Clone, Copy, Debug)]
-pub struct Older {
+pub struct StaleList {
     /// Its version.
     pub index: u64,
     /// The version that the node holds.
     pub held: u64,
 }
 
-/// Where the next slice begins.
+/// Which entries the next chunk takes.
 #[derive(Debug)]
 enum Phase {
-    /// Those listed after this one, for what does not serve any more.
-    Ending(Bound<ServerId>),
-    /// Those held after this one, for what is not listed any more.
+    /// Listed servers after this bound that drain or are gone.
+    NotReady(Bound<ServerId>),
+    /// Held servers after this bound that a full list leaves out.
     Unlisted(Bound<ServerId>),
-    /// Those listed that serve.
-    Serving,
+    /// Listed servers that are ready.
+    Ready,
 }
 
-/// What is left of a list.
+/// A long list that has not been sent completely.
 #[derive(Debug)]
-pub struct Slices {
+pub struct PendingChunks {
     listed: BTreeMap<ServerId, Backend>,
-    /// What the node holds and the list does not is gone.
-    whole: bool,
-    older: Option<Older>,
-    /// How many entries the list had, and how many were passed on.
-    all: usize,
-    kept: usize,
+    /// A full list: held servers that it leaves out are gone.
+    full: bool,
+    stale: Option<StaleList>,
+    /// How many entries the list had.
+    total: usize,
+    /// How many entries were sent.
+    sent: usize,
     phase: Phase,
 }
 
-impl Slices {
-    /// A list of which nothing has been passed on yet.
-    pub fn new(listed: BTreeMap<ServerId, Backend>, whole: bool, older: Option<Older>) -> Self {
-        let all = listed.len();
-        Slices { listed, whole, older, all, kept: 0, phase: Phase::Ending(Bound::Unbounded) }
+impl PendingChunks {
+    /// A list of which nothing has been sent yet.
+    pub fn new(listed: BTreeMap<ServerId, Backend>, full: bool, stale: Option<StaleList>) -> Self {
+        let total = listed.len();
+        PendingChunks { listed, full, stale, total, sent: 0, phase: Phase::NotReady(Bound::Unbounded) }
     }
 
-    /// The next slice, perhaps empty; `None` at the end. Each is to be noted in `held` before the next is asked for.
-    pub fn next(&mut self, held: &Versions) -> Option<Vec<Backend>> {
-        let mut slice = match self.phase {
-            Phase::Ending(after) => self.ending(after),
+    /// The next chunk, perhaps empty; `None` at the end. The caller records each chunk in `held` before
+    /// taking the next.
+    pub fn next(&mut self, held: &HeldList) -> Option<Vec<Backend>> {
+        let mut chunk = match self.phase {
+            Phase::NotReady(after) => self.not_ready(after),
             Phase::Unlisted(after) => self.unlisted(after, held),
-            Phase::Serving => self.serving()?,
+            Phase::Ready => self.ready()?,
         };
-        if self.older.is_some() {
-            held.keep_certain(&mut slice);
+        if self.stale.is_some() {
+            held.retain_certain(&mut chunk);
         }
-        self.kept += slice.len();
-        Some(slice)
+        self.sent += chunk.len();
+        Some(chunk)
     }
 
-    /// For the log, at the end: what came of an older list.
+    /// The log line for a stale list, once it has been processed.
     pub fn summary(&self) -> Option<String> {
-        let Older { index, held } = self.older?;
+        let StaleList { index, held } = self.stale?;
         Some(format!(
             "an older list was refused: version {index} after {held}, {} of {} taken",
-            self.kept, self.all
+            self.sent, self.total
         ))
     }
 
-    fn ending(&mut self, after: Bound<ServerId>) -> Vec<Backend> {
-        let seen: Vec<_> = self.listed.range((after, Bound::Unbounded)).take(SLICE).collect();
-        self.phase = match seen.last() {
-            Some((id, _)) => Phase::Ending(Bound::Excluded(**id)),
-            None if self.whole => Phase::Unlisted(Bound::Unbounded),
-            None => Phase::Serving,
+    fn not_ready(&mut self, after: Bound<ServerId>) -> Vec<Backend> {
+        let scanned: Vec<_> = self.listed.range((after, Bound::Unbounded)).take(CHUNK_ENTRIES).collect();
+        self.phase = match scanned.last() {
+            Some((id, _)) => Phase::NotReady(Bound::Excluded(**id)),
+            None if self.full => Phase::Unlisted(Bound::Unbounded),
+            None => Phase::Ready,
         };
-        let seen = seen.into_iter().map(|(_, backend)| backend);
-        seen.filter(|backend| backend.entry.state != ServerState::Ready).cloned().collect()
+        let scanned = scanned.into_iter().map(|(_, backend)| backend);
+        scanned.filter(|backend| backend.entry.state != ServerState::Ready).cloned().collect()
     }
 
-    fn unlisted(&mut self, after: Bound<ServerId>, held: &Versions) -> Vec<Backend> {
-        let (mut last, mut gone) = (None, Vec::new());
-        for (id, started) in held.after(after).take(SLICE) {
-            last = Some(id);
+    fn unlisted(&mut self, after: Bound<ServerId>, held: &HeldList) -> Vec<Backend> {
+        let (mut last_id, mut gone) = (None, Vec::new());
+        for (id, started) in held.servers_after(after).take(CHUNK_ENTRIES) {
+            last_id = Some(id);
             if !self.listed.contains_key(&id) {
                 gone.push(gone_backend(id, started));
             }
         }
-        self.phase = last.map_or(Phase::Serving, |id| Phase::Unlisted(Bound::Excluded(id)));
+        self.phase = last_id.map_or(Phase::Ready, |id| Phase::Unlisted(Bound::Excluded(id)));
         gone
     }
 
-    fn serving(&mut self) -> Option<Vec<Backend>> {
-        let mut slice = Vec::with_capacity(SLICE.min(self.listed.len()));
-        for _ in 0..SLICE {
+    fn ready(&mut self) -> Option<Vec<Backend>> {
+        let mut chunk = Vec::with_capacity(CHUNK_ENTRIES.min(self.listed.len()));
+        for _ in 0..CHUNK_ENTRIES {
             let Some((_, backend)) = self.listed.pop_first() else { break };
             if backend.entry.state == ServerState::Ready {
-                slice.push(backend);
+                chunk.push(backend);
             }
         }
-        (!slice.is_empty() || !self.listed.is_empty()).then_some(slice)
+        (!chunk.is_empty() || !self.listed.is_empty()).then_some(chunk)
     }
 }
 
-/// What a whole list says of a server by leaving it out. Its address is not said, and means nothing any more.
+/// The entry for a server that a full list leaves out. Its address is unspecified, since nobody connects to
+/// it any more.
 fn gone_backend(id: ServerId, started: Option<std::time::Duration>) -> Backend {
     let entry = ServerEntry { id, started, state: ServerState::Gone, ..ServerEntry::default() };
     Backend { entry, address: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)) }
--- a/src/control/discovery/error.rs
+++ b/src/control/discovery/error.rs
@@ -1,34 +1,33 @@
-//! Why a watch is of no more use, for what it says. Each tells what an operator can do.
+//! Why a watch, or a fetched list, had to be given up because of its content. Each message says what an
+//! operator can do.
 
 use thiserror::Error;
 
-/// A watch that says what a node can't take in.
+/// Why the content of a watch or of a fetched list can't be applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum BadWatch {
-    /// More servers than the node has memory for.
+pub enum WatchError {
+    /// The list has more servers than the node's memory limit allows.
     #[error(
-        "the list has more than {most} servers, the most for which limits.memory_mb leaves room: raise it, or have \
-         discovery list fewer to this node"
+        "the list has more than {max_servers} servers, the limit that limits.memory_mb sets: raise it, or have \
+         discovery list fewer servers to this node"
     )]
     TooManyServers {
-        /// The bound, from the configuration.
-        most: usize,
+        /// The limit, from the configuration.
+        max_servers: usize,
     },
-    /// A single entry, or what stands round the entries, is longer than any that could be meant.
+    /// A single entry, or the text outside the entries, is longer than in any valid list.
     #[error(
-        "a value has a part without end, over {most} bytes: look at what the agent sends to \
+        "one part of a value is longer than {max_bytes} bytes: check what the agent sends to \
          /registry/instances?stream=1"
     )]
-    Endless {
-        /// The bound, in bytes.
-        most: usize,
+    PartTooLong {
+        /// The limit, in bytes.
+        max_bytes: usize,
     },
-    /// Tries to find where values end have read too much.
-    #[error(
-        "its values have no end that can be found: look at what the agent sends to /registry/instances?stream=1"
-    )]
-    NoEndFound,
-    /// An answer that is one value is no list.
-    #[error("it is no list: {0}: look at what the agent answers to /registry/instances")]
-    NoList(String),
+    /// Repeated attempts to find the end of a value have parsed too many bytes.
+    #[error("the end of a value can't be found: check what the agent sends to /registry/instances?stream=1")]
+    NoValueEnd,
+    /// A fetched response is not a list.
+    #[error("the response is not a list: {0}: check what the agent answers to /registry/instances")]
+    NotAList(String),
 }
--- a/src/control/discovery/incremental.rs
+++ b/src/control/discovery/incremental.rs
@@ -1,9 +1,11 @@
-//! A list too long to be kept as text: it is taken in while it comes. Where an entry ends, its text is read by `serde_json`
-//! and only the [`Backend`] stays; in what is left of the list a short word stands for each entry, and `serde_json` reads
-//! that at the end. Here braces and quotes are counted, and nothing is read.
+//! Incremental parsing of a list that is too long to be buffered as text, in bounded memory.
+//!
+//! This scanner only tracks strings and nesting to find where each entry ends. `serde_json` parses the
+//! entry's text, of which only the [`Backend`] is kept. In the rest of the list, the skeleton, a placeholder
+//! stands for each entry, and `serde_json` parses the skeleton at the end.
 
-use super::entry::{BadEntry, EntryReader, Whole};
-use super::error::BadWatch;
+use super::entry::{EntryError, EntryReader, ListMarker};
+use super::error::WatchError;
 use crate::ServerId;
 use crate::control::updates::Backend;
 use serde::Deserialize;
@@ -11,86 +13,88 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
-/// The longest text of one entry, in bytes; discovery's take 140.
-pub const ENTRY_LIMIT: usize = 64 << 10;
-/// What stands for an entry in the rest of the list.
-const STAND_IN: u8 = b'0';
-/// What an entry may leave in the rest: the word for it, a comma, white space.
-const REST_PER_ENTRY: usize = 4;
-/// So many bad entries are told of by themselves.
-const REASONS: usize = 8;
+/// The longest text of one entry; an entry of discovery takes 140 bytes.
+pub const MAX_ENTRY_BYTES: usize = 64 << 10;
+/// Stands for an entry in the skeleton.
+const ENTRY_PLACEHOLDER: u8 = b'0';
+/// The most that one entry adds to the skeleton: the placeholder, a comma and whitespace.
+const SKELETON_BYTES_PER_ENTRY: usize = 4;
+/// How many dropped entries are reported one by one; of the others only the count is.
+const MAX_REPORTED_REASONS: usize = 8;
 
-/// A list that was read entry by entry. Of two lives of a backend it holds the later one.
+/// A list that was parsed entry by entry. If a backend is listed twice, it holds the entry with the later
+/// start.
 #[derive(Debug, Default)]
 pub struct LongList {
-    /// Its version.
+    /// Its resource version.
     pub index: Option<u64>,
-    /// Whether it is the whole list.
+    /// Whether it is a full snapshot.
     pub snapshot: bool,
     /// The entries, each backend once.
     pub backends: BTreeMap<ServerId, Backend>,
-    /// Why entries were dropped; the first few.
+    /// Why entries were dropped, for the first [`MAX_REPORTED_REASONS`].
     pub reasons: Vec<String>,
     /// How many entries were dropped.
     pub dropped: usize,
 }
 
 impl LongList {
-    /// Of one life, what stands last counts.
+    /// Of entries with the same start the last one counts.
     fn add(&mut self, backend: Backend) {
         match self.backends.entry(backend.entry.id) {
-            Entry::Vacant(place) => drop(place.insert(backend)),
-            Entry::Occupied(mut place) if backend.entry.started >= place.get().entry.started => {
-                place.insert(backend);
+            Entry::Vacant(slot) => drop(slot.insert(backend)),
+            Entry::Occupied(mut slot) if backend.entry.started >= slot.get().entry.started => {
+                slot.insert(backend);
             }
             Entry::Occupied(_) => {}
         }
     }
 
-    fn drop_entry(&mut self, why: String) {
+    fn drop_entry(&mut self, reason: String) {
         self.dropped += 1;
-        if self.reasons.len() < REASONS {
-            self.reasons.push(why);
+        if self.reasons.len() < MAX_REPORTED_REASONS {
+            self.reasons.push(reason);
         }
     }
 }
 
-/// What is left of a list once its entries are taken out.
+/// A list without its entries.
 #[derive(Deserialize)]
-struct Rest {
+struct ListSkeleton {
     index: Option<u64>,
     #[serde(default)]
     snapshot: bool,
     endpoints: Vec<IgnoredAny>,
 }
 
-/// How a long value ends.
+/// How a long value ended.
 #[derive(Debug)]
-pub enum End {
-    /// A list.
+pub enum ParseEnd {
+    /// It is a list.
     List(LongList),
-    /// It is none.
-    Broken {
+    /// It is not a list, or not valid JSON.
+    Malformed {
         /// What is wrong.
-        why: String,
-        /// Its line has ended as well.
+        reason: String,
+        /// Whether its line has ended as well; otherwise the rest of the line is to be skipped.
         line_ended: bool,
     },
-    /// It was cut short, and this list follows.
-    CutShort(Vec<u8>),
+    /// It was truncated, and this text of a list follows it.
+    Truncated(Vec<u8>),
 }
 
-/// A long value of which the end has not come yet.
-pub struct LongReader {
-    entries: EntryReader,
+/// Parses one long value while it arrives.
+pub struct IncrementalListParser {
+    entry_reader: EntryReader,
     /// The most entries.
-    most: usize,
-    /// The most bytes outside of entries.
-    most_rest: usize,
+    max_servers: usize,
+    /// The most bytes of skeleton, besides those for each entry.
+    max_skeleton_bytes: usize,
     list: LongList,
-    /// Entries so far, dropped ones as well.
-    count: usize,
-    rest: Vec<u8>,
+    /// Entries so far, including dropped ones.
+    entry_count: usize,
+    skeleton: Vec<u8>,
+    /// The text of the current entry.
     entry: Vec<u8>,
     /// How many braces and brackets are open.
     depth: usize,
@@ -100,16 +104,17 @@
     in_endpoints: bool,
 }
 
-impl LongReader {
-    /// A value that begins now, of at most so many entries and so many bytes apart from them.
-    pub fn new(entries: EntryReader, most: usize, most_rest: usize) -> Self {
-        LongReader {
-            entries,
-            most,
-            most_rest,
+impl IncrementalListParser {
+    /// A parser for one value with at most `max_servers` entries, and `max_skeleton_bytes` besides the
+    /// entries.
+    pub fn new(entry_reader: EntryReader, max_servers: usize, max_skeleton_bytes: usize) -> Self {
+        IncrementalListParser {
+            entry_reader,
+            max_servers,
+            max_skeleton_bytes,
             list: LongList::default(),
-            count: 0,
-            rest: Vec::new(),
+            entry_count: 0,
+            skeleton: Vec::new(),
             entry: Vec::new(),
             depth: 0,
             in_string: false,
@@ -119,153 +124,156 @@
         }
     }
 
-    /// Takes in the next piece; returns how much of it belongs to the value, and how that ends if it does.
+    /// Parses the next bytes. Returns how many of them belong to the value, and how the value ended if it
+    /// did.
     ///
     /// # Errors
-    /// If it can't be held.
-    pub fn feed(&mut self, piece: &[u8]) -> Result<(usize, Option<End>), BadWatch> {
-        for (at, byte) in piece.iter().enumerate() {
-            let end = match self.step(*byte) {
-                // What is too long to be kept can still be passed over.
-                Err(problem @ BadWatch::Endless { .. }) => {
-                    Some(End::Broken { why: problem.to_string(), line_ended: false })
+    /// If the list has too many servers.
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<(usize, Option<ParseEnd>), WatchError> {
+        for (position, byte) in bytes.iter().enumerate() {
+            let end = match self.push_byte(*byte) {
+                // A value with a part that is too long to buffer can still be skipped.
+                Err(error @ WatchError::PartTooLong { .. }) => {
+                    Some(ParseEnd::Malformed { reason: error.to_string(), line_ended: false })
                 }
                 step => step?,
             };
             if end.is_some() {
-                return Ok((at + 1, end));
+                return Ok((position + 1, end));
             }
         }
-        Ok((piece.len(), None))
+        Ok((bytes.len(), None))
     }
 
-    /// How many bytes of text it holds now.
+    /// How many bytes of text are buffered.
     #[cfg(test)]
-    pub fn kept(&self) -> usize {
-        self.rest.len() + self.entry.len()
+    pub fn buffered_bytes(&self) -> usize {
+        self.skeleton.len() + self.entry.len()
     }
 
-    fn step(&mut self, byte: u8) -> Result<Option<End>, BadWatch> {
+    fn push_byte(&mut self, byte: u8) -> Result<Option<ParseEnd>, WatchError> {
         if self.in_string {
-            return self.step_in_string(byte);
+            return self.push_string_byte(byte);
         }
         match byte {
             b' ' | b'\t' | b'\r' => {
-                if !self.text().last().is_some_and(u8::is_ascii_whitespace) {
-                    self.keep(byte)?;
+                if !self.current_text().last().is_some_and(u8::is_ascii_whitespace) {
+                    self.append(byte)?;
                 }
             }
-            b'\n' => return self.end_line(),
+            b'\n' => return self.finish_line(),
             b'"' => {
                 self.in_string = true;
-                self.keep(byte)?;
+                self.append(byte)?;
             }
-            b'{' | b'[' => self.open(byte)?,
-            b'}' | b']' => return self.close(byte),
-            _ => self.keep(byte)?,
+            b'{' | b'[' => self.open_bracket(byte)?,
+            b'}' | b']' => return self.close_bracket(byte),
+            _ => self.append(byte)?,
         }
         Ok(None)
     }
 
-    fn step_in_string(&mut self, byte: u8) -> Result<Option<End>, BadWatch> {
+    fn push_string_byte(&mut self, byte: u8) -> Result<Option<ParseEnd>, WatchError> {
         match byte {
-            // JSON has none within a string: it was cut short.
+            // JSON allows no line break in a string, so the value is truncated.
             b'\n' => {
-                let why = "it was cut short within a string".to_owned();
-                return Ok(Some(End::Broken { why, line_ended: true }));
+                let reason = "it is truncated within a string".to_owned();
+                return Ok(Some(ParseEnd::Malformed { reason, line_ended: true }));
             }
             _ if self.escaped => self.escaped = false,
             b'\\' => self.escaped = true,
             b'"' => self.in_string = false,
             _ => {}
         }
-        self.keep(byte)?;
+        self.append(byte)?;
         Ok(None)
     }
 
-    fn open(&mut self, byte: u8) -> Result<(), BadWatch> {
+    fn open_bracket(&mut self, byte: u8) -> Result<(), WatchError> {
         self.in_entry |= byte == b'{' && self.in_endpoints && self.depth == 2;
-        self.in_endpoints |= byte == b'[' && self.depth == 1 && self.follows_endpoints();
+        self.in_endpoints |= byte == b'[' && self.depth == 1 && self.follows_endpoints_key();
         self.depth += 1;
-        self.keep(byte)
+        self.append(byte)
     }
 
-    fn close(&mut self, byte: u8) -> Result<Option<End>, BadWatch> {
-        self.keep(byte)?;
+    fn close_bracket(&mut self, byte: u8) -> Result<Option<ParseEnd>, WatchError> {
+        self.append(byte)?;
         self.depth = self.depth.saturating_sub(1);
         if self.in_entry && self.depth == 2 {
-            return self.end_entry();
+            return self.finish_entry();
         }
         self.in_endpoints &= self.depth >= 2;
-        Ok((self.depth == 0).then(|| self.end()))
+        Ok((self.depth == 0).then(|| self.finish()))
     }
 
-    /// Whether the array that begins is that of the entries.
-    fn follows_endpoints(&self) -> bool {
-        let before = self.rest.trim_ascii_end().strip_suffix(b":");
+    /// Whether the array that opens here is the value of `endpoints`.
+    fn follows_endpoints_key(&self) -> bool {
+        let before = self.skeleton.trim_ascii_end().strip_suffix(b":");
         before.is_some_and(|before| before.trim_ascii_end().ends_with(b"\"endpoints\""))
     }
 
-    fn end_entry(&mut self) -> Result<Option<End>, BadWatch> {
+    fn finish_entry(&mut self) -> Result<Option<ParseEnd>, WatchError> {
         let text = std::mem::take(&mut self.entry);
         self.in_entry = false;
-        match self.entries.read(&text) {
+        match self.entry_reader.read(&text) {
             Ok(backend) => self.list.add(backend),
-            Err(BadEntry::Unusable(why)) => self.list.drop_entry(why),
-            Err(BadEntry::NotJson(why)) => return Ok(Some(End::Broken { why, line_ended: false })),
-            Err(BadEntry::List) => return Ok(Some(End::CutShort(text))),
+            Err(EntryError::Invalid(reason)) => self.list.drop_entry(reason),
+            Err(EntryError::NotJson(reason)) => {
+                return Ok(Some(ParseEnd::Malformed { reason, line_ended: false }));
+            }
+            Err(EntryError::NestedList) => return Ok(Some(ParseEnd::Truncated(text))),
         }
         self.entry = text;
         self.entry.clear();
-        self.count += 1;
-        if self.count > self.most {
-            return Err(BadWatch::TooManyServers { most: self.most });
+        self.entry_count += 1;
+        if self.entry_count > self.max_servers {
+            return Err(WatchError::TooManyServers { max_servers: self.max_servers });
         }
-        self.keep(STAND_IN)?;
+        self.append(ENTRY_PLACEHOLDER)?;
         Ok(None)
     }
 
-    /// A line that is a whole list by itself, within something else: that was cut short.
-    fn end_line(&mut self) -> Result<Option<End>, BadWatch> {
-        let text = self.text();
-        let start = text.iter().rposition(|byte| *byte == b'\n').map(|at| at + 1);
+    /// If the line that ends here is a whole list by itself, the value around it was truncated.
+    fn finish_line(&mut self) -> Result<Option<ParseEnd>, WatchError> {
+        let text = self.current_text();
+        let start = text.iter().rposition(|byte| *byte == b'\n').map(|position| position + 1);
         let line = text[start.unwrap_or_default()..].trim_ascii();
         let closed = line.starts_with(b"{") && line.ends_with(b"}");
-        if closed && start.is_some() && serde_json::from_slice::<Whole>(line).is_ok() {
-            return Ok(Some(End::CutShort(line.to_vec())));
+        if closed && start.is_some() && serde_json::from_slice::<ListMarker>(line).is_ok() {
+            return Ok(Some(ParseEnd::Truncated(line.to_vec())));
         }
         if text.last() != Some(&b'\n') {
-            self.keep(b'\n')?;
+            self.append(b'\n')?;
         }
         Ok(None)
     }
 
-    fn end(&mut self) -> End {
+    fn finish(&mut self) -> ParseEnd {
         let mut list = std::mem::take(&mut self.list);
-        let rest: Rest = match serde_json::from_slice(&self.rest) {
-            Ok(rest) => rest,
-            Err(e) => return End::Broken { why: e.to_string(), line_ended: false },
+        let skeleton: ListSkeleton = match serde_json::from_slice(&self.skeleton) {
+            Ok(skeleton) => skeleton,
+            Err(e) => return ParseEnd::Malformed { reason: e.to_string(), line_ended: false },
         };
-        (list.index, list.snapshot) = (rest.index, rest.snapshot);
-        for _ in self.count..rest.endpoints.len() {
-            list.drop_entry("an entry is no object".to_owned());
+        (list.index, list.snapshot) = (skeleton.index, skeleton.snapshot);
+        for _ in self.entry_count..skeleton.endpoints.len() {
+            list.drop_entry("an entry is not an object".to_owned());
         }
-        End::List(list)
+        ParseEnd::List(list)
     }
 
-    /// Where what comes now is kept: with its entry, or with the rest.
-    fn text(&self) -> &[u8] {
-        if self.in_entry { &self.entry } else { &self.rest }
+    /// The text that the next byte is appended to: the current entry or the skeleton.
+    fn current_text(&self) -> &[u8] {
+        if self.in_entry { &self.entry } else { &self.skeleton }
     }
 
-    fn keep(&mut self, byte: u8) -> Result<(), BadWatch> {
-        let (text, most) = if self.in_entry {
-            (&mut self.entry, ENTRY_LIMIT)
+    fn append(&mut self, byte: u8) -> Result<(), WatchError> {
+        let (text, max_bytes) = if self.in_entry {
+            (&mut self.entry, MAX_ENTRY_BYTES)
         } else {
-            (&mut self.rest, self.most_rest + REST_PER_ENTRY * self.count)
+            (&mut self.skeleton, self.max_skeleton_bytes + SKELETON_BYTES_PER_ENTRY * self.entry_count)
         };
-        if text.len() >= most {
-            return Err(BadWatch::Endless { most });
+        if text.len() >= max_bytes {
+            return Err(WatchError::PartTooLong { max_bytes });
         }
         text.push(byte);
         Ok(())
--- a/src/control/discovery/tests/long_lists.rs
+++ b/src/control/discovery/tests/long_lists.rs
@@ -1,37 +1,37 @@
-//! Lists too long to be kept as text, and how they are passed on.
+//! Tests of lists that are too long to be buffered as text: incremental parsing and chunked updates.
 
 use super::*;
-use crate::control::discovery::chunks::SLICE;
+use crate::control::discovery::chunks::CHUNK_ENTRIES;
 use crate::control::discovery::incremental::LongList;
 use std::collections::BTreeSet;
 
-/// Over the length of a short list, in any form.
-const MANY: usize = 4_000;
+/// Makes a list longer than a short one in any layout.
+const LONG_LIST_SERVERS: usize = 4_000;
 
-fn long_lines(most: usize) -> Lines {
-    Lines::new(EntryReader::new(LiveSettings::new(config("", GRACE).site)), most)
+fn long_framer(max_servers: usize) -> StreamFramer {
+    StreamFramer::new(EntryReader::new(LiveSettings::new(config("", GRACE).site)), max_servers)
 }
 
-/// All lists that come of these pieces, and how many were dropped.
-fn read_all<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> (Vec<LongList>, usize) {
-    let (mut lines, mut good, mut bad) = (long_lines(10 * MANY), Vec::new(), 0);
-    for piece in pieces {
-        for value in lines.feed(piece).expect("bounded").values {
+/// All lists in these chunks, and how many malformed ones were dropped.
+fn parse_all<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> (Vec<LongList>, usize) {
+    let (mut framer, mut valid, mut dropped) = (long_framer(10 * LONG_LIST_SERVERS), Vec::new(), 0);
+    for chunk in chunks {
+        for value in framer.feed(chunk).expect("within the limits").values {
             match value {
-                Ok(ListValue::Long(list)) => good.push(*list),
+                Ok(ListValue::Long(list)) => valid.push(*list),
                 Ok(ListValue::Text(text)) => {
-                    let list: List = serde_json::from_slice(&text).expect("a list");
-                    good.push(LongList { index: list.index, ..LongList::default() });
+                    let list: ListJson = serde_json::from_slice(&text).expect("a list");
+                    valid.push(LongList { index: list.index, ..LongList::default() });
                 }
-                Err(_) => bad += 1,
+                Err(_) => dropped += 1,
             }
         }
     }
-    (good, bad)
+    (valid, dropped)
 }
 
 fn name(i: usize) -> String {
-    // Odd braces, quotes and backslashes in names: what stands in a string ends nothing.
+    // Unbalanced braces, quotes and backslashes in names: within a string they end nothing.
     match i % 100 {
         7 => format!("s-{i}-{{[\\\"\\\\"),
         8 => format!("s-{i}-}}]}}\\\\\\\"{{"),
@@ -43,23 +43,23 @@
     (0..count).map(|i| entry(&name(i), status, 1_790_000_000_000)).collect()
 }
 
-fn indices_of(lists: &[LongList]) -> Vec<(Option<u64>, usize)> {
+fn indices_and_counts(lists: &[LongList]) -> Vec<(Option<u64>, usize)> {
     lists.iter().map(|list| (list.index, list.backends.len())).collect()
 }
 
 #[test]
-fn a_long_list_is_read_however_it_is_laid_out_and_cut() {
-    let entries = entries(MANY, "in_service");
+fn long_lists_are_parsed_in_any_layout_and_split() {
+    let entries = entries(LONG_LIST_SERVERS, "in_service");
     let line = list(41, true, &entries);
-    let ends = format!("{{\"endpoints\" : [{}],\"snapshot\":true,\"index\":41}}\n", entries.join(","));
+    let reordered = format!("{{\"endpoints\" : [{}],\"snapshot\":true,\"index\":41}}\n", entries.join(","));
     let forms = [
         line.clone(),
-        spaced(&line, "\n"),
-        spaced(&line, "\r\n\t \n"),
-        spaced(&line, " "),
+        with_whitespace(&line, "\n"),
+        with_whitespace(&line, "\r\n\t \n"),
+        with_whitespace(&line, " "),
         line.replace("},{", "},\n{"),
-        ends,
-        // What another version of discovery may say besides.
+        reordered,
+        // Keys that another version of discovery may add.
         line.replacen(
             '{',
             "{\"more\":[{\"a\":[{}]},\"endpoints\"],\"other\":{\"endpoints\":[{\"x\":1}]},",
@@ -70,24 +70,28 @@
     for (form, text) in forms.iter().enumerate() {
         let text = format!("{short}\n{text}{short}");
         for size in [1, 7, 4_096, usize::MAX] {
-            let (lists, bad) = read_all(text.as_bytes().chunks(size));
-            let expected = [(Some(42), 0), (Some(41), MANY), (Some(42), 0)];
-            assert_eq!((indices_of(&lists), bad), (expected.to_vec(), 0), "form {form} by {size}");
+            let (lists, dropped) = parse_all(text.as_bytes().chunks(size));
+            let expected = [(Some(42), 0), (Some(41), LONG_LIST_SERVERS), (Some(42), 0)];
+            assert_eq!(
+                (indices_and_counts(&lists), dropped),
+                (expected.to_vec(), 0),
+                "form {form} by {size}"
+            );
             assert!(lists[1].snapshot && lists[1].dropped == 0, "form {form} by {size}");
         }
     }
 }
 
-/// Entry for entry the same, whether a list is short or long.
+/// Both parsers must agree, whatever the layout of an entry.
 #[test]
-fn a_long_list_says_what_the_same_short_one_says() {
+fn long_and_short_lists_give_the_same_entries() {
     let reader = EntryReader::new(LiveSettings::new(config("", GRACE).site));
-    let mut entries = entries(MANY, "in_service");
+    let mut entries = entries(LONG_LIST_SERVERS, "in_service");
     entries[1] = entries[1].replace("\"weight\":1.0,", "");
     entries[2] = entries[2].replace("\"zone\":\"a\",", "\"zone\":\"a\",\"zone\":\"a\",");
     entries[3] = entries[3].replace("1790000000000", "1790000000000.25");
     entries[4] = entries[4].replace("\"type\":\"m\"", "\"type\":\"new\",\"more\":{\"a\":[1]}");
-    let (lists, _) = read_all([list(41, true, &entries).as_bytes()]);
+    let (lists, _) = parse_all([list(41, true, &entries).as_bytes()]);
     for text in &entries {
         let value = serde_json::from_str(text).expect("JSON");
         let expected = reader.read_value(value).expect("an entry");
@@ -97,81 +101,97 @@
 }
 
 #[test]
-fn of_a_long_list_a_bad_entry_is_dropped_alone() {
-    let mut entries = entries(MANY, "in_service");
+fn invalid_entries_of_a_long_list_are_dropped_alone() {
+    let mut entries = entries(LONG_LIST_SERVERS, "in_service");
     entries[10] = entries[10].replace("\"zone\":\"a\"", "\"zone\":\"nowhere\"");
     entries[2_000] = entries[2_000].replace("in_service", "asleep");
     entries[3_000] = entries[3_000].replace("\"group\":1", "\"group\":\"one\"");
     entries[3_100] = "\"s-1\"".into();
     entries[3_200] = "[{}]".into();
-    let (lists, bad) = read_all([list(41, true, &entries).as_bytes()]);
-    assert_eq!((indices_of(&lists), bad), (vec![(Some(41), MANY - 5)], 0));
+    let (lists, dropped) = parse_all([list(41, true, &entries).as_bytes()]);
+    assert_eq!((indices_and_counts(&lists), dropped), (vec![(Some(41), LONG_LIST_SERVERS - 5)], 0));
     assert_eq!((lists[0].dropped, lists[0].reasons.len()), (5, 5));
 }
 
 #[test]
-fn a_long_list_that_is_broken_is_dropped_whole_and_the_next_counts() {
-    let good = list(41, true, &entries(MANY, "in_service"));
+fn malformed_long_list_is_dropped_whole_and_the_next_counts() {
+    let valid = list(41, true, &entries(LONG_LIST_SERVERS, "in_service"));
     let next = list(42, false, &entries(2, "terminating"));
-    let half = good.len() * 3 / 4;
-    let at = |what: &str| half + good[half..].find(what).expect("a place");
-    let broken = [
-        good[..at("},{") + 2].to_owned() + "\n",
-        good[..at("\"zone") + 2].to_owned() + "\n",
-        good[..at("\"zone\"") + 7].to_owned() + "\n",
-        good.replace("]}\n", "]\n"),
-        good.replace("]}\n", "\n"),
-        good[..half].to_owned() + &good[half..].replacen("},{", "}{", 1),
-        good[..half].to_owned() + &good[half..].replacen(":", ";", 1),
-        good.replacen("\"index\":41", "\"index\":4,1", 1),
-        good.replacen("\"endpoints\"", "\"end\"", 1).replace("},{", "},1,{"),
+    let offset = valid.len() * 3 / 4;
+    let find = |what: &str| offset + valid[offset..].find(what).expect("a position");
+    let malformed_texts = [
+        valid[..find("},{") + 2].to_owned() + "\n",
+        valid[..find("\"zone") + 2].to_owned() + "\n",
+        valid[..find("\"zone\"") + 7].to_owned() + "\n",
+        valid.replace("]}\n", "]\n"),
+        valid.replace("]}\n", "\n"),
+        valid[..offset].to_owned() + &valid[offset..].replacen("},{", "}{", 1),
+        valid[..offset].to_owned() + &valid[offset..].replacen(":", ";", 1),
+        valid.replacen("\"index\":41", "\"index\":4,1", 1),
+        valid.replacen("\"endpoints\"", "\"end\"", 1).replace("},{", "},1,{"),
     ];
-    for (case, broken) in broken.iter().enumerate() {
+    for (case, malformed) in malformed_texts.iter().enumerate() {
         for size in [1, 4_096, usize::MAX] {
-            let text = format!("{broken}{next}{good}");
-            let (lists, bad) = read_all(text.as_bytes().chunks(size));
-            let expected = vec![(Some(42), 0), (Some(41), MANY)];
-            assert_eq!((indices_of(&lists), bad), (expected, 1), "case {case} by {size}");
+            let text = format!("{malformed}{next}{valid}");
+            let (lists, dropped) = parse_all(text.as_bytes().chunks(size));
+            let expected = vec![(Some(42), 0), (Some(41), LONG_LIST_SERVERS)];
+            assert_eq!((indices_and_counts(&lists), dropped), (expected, 1), "case {case} by {size}");
         }
     }
 }
 
 #[test]
-fn a_list_with_more_servers_than_there_is_room_for_is_refused_by_the_bound() {
-    let (fits, over) = (entries(MANY, "in_service"), entries(MANY + 1, "in_service"));
-    let fed = long_lines(MANY).feed(list(41, true, &fits).as_bytes()).expect("it fits");
-    assert_eq!(fed.values.len(), 1);
-    let refused = long_lines(MANY).feed(list(41, true, &over).as_bytes()).expect_err("it is over");
-    assert_eq!(refused, BadWatch::TooManyServers { most: MANY });
+fn list_over_the_server_limit_is_refused() {
+    let (within_limit, over_limit) =
+        (entries(LONG_LIST_SERVERS, "in_service"), entries(LONG_LIST_SERVERS + 1, "in_service"));
+    let output =
+        long_framer(LONG_LIST_SERVERS).feed(list(41, true, &within_limit).as_bytes()).expect("it fits");
+    assert_eq!(output.values.len(), 1);
+    let refused = long_framer(LONG_LIST_SERVERS)
+        .feed(list(41, true, &over_limit).as_bytes())
+        .expect_err("it is over the limit");
+    assert_eq!(refused, WatchError::TooManyServers { max_servers: LONG_LIST_SERVERS });
     assert!(refused.to_string().contains("limits.memory_mb"), "{refused}");
-    // An entry without end.
-    let text = list(41, true, &fits).replacen("\"group\":1", &format!("\"x\":\"{}\"", "x".repeat(70_000)), 2);
-    let (lists, bad) = read_all([(text + &list(42, true, &fits)).as_bytes()]);
-    assert_eq!((indices_of(&lists), bad), (vec![(Some(42), MANY)], 1), "only that list is dropped");
+    // An entry that is too long.
+    let text = list(41, true, &within_limit).replacen(
+        "\"group\":1",
+        &format!("\"x\":\"{}\"", "x".repeat(70_000)),
+        2,
+    );
+    let (lists, dropped) = parse_all([(text + &list(42, true, &within_limit)).as_bytes()]);
+    assert_eq!(
+        (indices_and_counts(&lists), dropped),
+        (vec![(Some(42), LONG_LIST_SERVERS)], 1),
+        "only that list is dropped"
+    );
 }
 
-/// Text and tree of it would take 30 times as much.
+/// Buffering the text and a JSON tree of it would take 30 times as much memory.
 #[test]
-fn neither_the_text_nor_a_tree_of_a_long_list_is_kept() {
+fn long_list_is_parsed_in_bounded_memory() {
     let config = config("", GRACE);
     assert_eq!(config.max_listed_servers, 192 * 1_024 / 2, "half of the memory, a kibibyte each");
-    let mut lines = long_lines(config.max_listed_servers);
+    let mut framer = long_framer(config.max_listed_servers);
     let text = list(41, true, &entries(config.max_listed_servers, "in_service"));
     assert!(text.len() > 12 << 20);
-    let pieces = text.as_bytes().chunks(16 << 10);
-    let longest = pieces.map(|piece| (lines.feed(piece).expect("it fits"), lines.kept()).1).max();
-    assert!(longest.expect("pieces") < 800 << 10, "{longest:?}");
+    let chunks = text.as_bytes().chunks(16 << 10);
+    let peak = chunks.map(|chunk| (framer.feed(chunk).expect("it fits"), framer.buffered_bytes()).1).max();
+    assert!(peak.expect("chunks") < 800 << 10, "{peak:?}");
 }
 
-// ---- Passed on in slices ------------------------------------------------------------------------
+// ---- Chunked updates ----------------------------------------------------------------------------
 
-/// What a node knows after these slices, if it knew this; and that each is bounded.
-fn taken(known: &mut BTreeSet<u64>, news: ListUpdate) {
-    assert!(news.kind != ListKind::Changes || news.backends.len() <= SLICE, "{}", news.backends.len());
-    if news.kind != ListKind::Changes {
+/// Applies an update to the set of ready servers, and checks that a chunk is not too large.
+fn apply_update(known: &mut BTreeSet<u64>, update: ListUpdate) {
+    assert!(
+        update.kind != ListKind::Changes || update.backends.len() <= CHUNK_ENTRIES,
+        "{}",
+        update.backends.len()
+    );
+    if update.kind != ListKind::Changes {
         known.clear();
     }
-    for backend in news.backends {
+    for backend in update.backends {
         match backend.entry.state {
             ServerState::Ready => known.insert(backend.entry.id.0),
             _ => known.remove(&backend.entry.id.0),
@@ -179,131 +199,140 @@
     }
 }
 
-/// Takes news until this many servers are known to serve.
-async fn until_known(rig: &mut Rig, known: &mut BTreeSet<u64>, count: usize) {
+/// Receives updates until this many servers are ready.
+async fn receive_until(harness: &mut Harness, known: &mut BTreeSet<u64>, count: usize) {
     while known.len() != count {
-        let news = rig.news().await;
-        taken(known, news);
+        let update = harness.next_update().await;
+        apply_update(known, update);
     }
 }
 
-/// Writes a long list while the node reads.
-async fn write_long(call: &mut Call, text: &str) {
-    for piece in text.as_bytes().chunks(8 << 10) {
-        call.write(std::str::from_utf8(piece).expect("ASCII")).await;
+/// Writes a long list while the client reads.
+async fn write_in_chunks(connection: &mut AgentConnection, text: &str) {
+    for chunk in text.as_bytes().chunks(8 << 10) {
+        connection.write(std::str::from_utf8(chunk).expect("ASCII")).await;
     }
 }
 
 #[test]
-fn a_long_list_is_passed_on_in_slices_what_ends_first() {
+fn long_list_is_sent_in_chunks_with_drained_and_gone_servers_first() {
     for mode in ["", r#""RegistryMode":"ask","#] {
-        played(async || {
-            let mut rig = Rig::start(mode, false);
-            rig.orders.send(DiscoveryCommand::Subscribe(true)).await.expect("it obeys");
-            let (mut call, mut known) = (rig.call().await, BTreeSet::new());
-            call.open().await;
-            write_long(&mut call, &list(8, true, &entries(MANY, "in_service"))).await;
-            until_known(&mut rig, &mut known, MANY).await;
-            // Of the first hundred a few drain, and the last hundred are gone.
-            let mut now = entries(MANY - 100, "in_service");
+        run_paused(async || {
+            let mut harness = Harness::start(mode, false);
+            harness
+                .commands
+                .send(DiscoveryCommand::Subscribe(true))
+                .await
+                .expect("the client receives commands");
+            let (mut connection, mut known) = (harness.next_connection().await, BTreeSet::new());
+            connection.send_head().await;
+            write_in_chunks(&mut connection, &list(8, true, &entries(LONG_LIST_SERVERS, "in_service"))).await;
+            receive_until(&mut harness, &mut known, LONG_LIST_SERVERS).await;
+            // A few of the first hundred drain, and the last hundred are gone.
+            let mut now = entries(LONG_LIST_SERVERS - 100, "in_service");
             now[..5].iter_mut().for_each(|entry| *entry = entry.replace("in_service", "terminating"));
-            write_long(&mut call, &list(9, true, &now)).await;
+            write_in_chunks(&mut connection, &list(9, true, &now)).await;
             let mut ended = 0;
             while ended < 105 {
-                let news = rig.news().await;
-                assert!(news.backends.iter().all(|backend| backend.entry.state != ServerState::Ready));
-                ended += news.backends.len();
-                taken(&mut known, news);
+                let update = harness.next_update().await;
+                assert!(update.backends.iter().all(|backend| backend.entry.state != ServerState::Ready));
+                ended += update.backends.len();
+                apply_update(&mut known, update);
             }
-            until_known(&mut rig, &mut known, MANY - 105).await;
+            receive_until(&mut harness, &mut known, LONG_LIST_SERVERS - 105).await;
             // A short list that leaves out most of them.
-            call.write(&list(10, true, &entries(3, "in_service"))).await;
-            until_known(&mut rig, &mut known, 3).await;
-            drop(call);
-            assert!(rig.call().await.open().await.contains("index=10 "));
+            connection.write(&list(10, true, &entries(3, "in_service"))).await;
+            receive_until(&mut harness, &mut known, 3).await;
+            drop(connection);
+            assert!(harness.next_connection().await.send_head().await.contains("index=10 "));
         });
     }
 }
 
-/// A watch that is left half-way through the slices: the new agent is behind, and would undo a drain in the rest of them.
+/// A watch that is abandoned before all chunks were sent: the new agent may be behind, so the rest of the
+/// list would be lost.
 #[test]
-fn all_slices_follow_though_the_watch_is_left_half_way() {
-    played(async || {
-        let mut rig = Rig::start("", false);
-        let (mut call, mut known) = (rig.call().await, BTreeSet::new());
-        call.open().await;
-        write_long(&mut call, &list(8, true, &entries(MANY, "in_service"))).await;
-        taken(&mut known, rig.news().await);
-        rig.moved.send(NEW.parse().expect("an address")).expect("it listens");
-        let mut next = rig.call().await;
-        assert!(known.len() < MANY, "{}", known.len());
-        until_known(&mut rig, &mut known, MANY).await;
-        assert!(next.open().await.contains("index=8 "));
-        // It is behind, and what it says undoes nothing, but that all those drain which the node holds is certain.
-        write_long(&mut next, &list(7, true, &entries(MANY - 1, "terminating"))).await;
-        until_known(&mut rig, &mut known, 1).await;
+fn remaining_chunks_are_sent_after_the_watch_is_abandoned() {
+    run_paused(async || {
+        let mut harness = Harness::start("", false);
+        let (mut connection, mut known) = (harness.next_connection().await, BTreeSet::new());
+        connection.send_head().await;
+        write_in_chunks(&mut connection, &list(8, true, &entries(LONG_LIST_SERVERS, "in_service"))).await;
+        apply_update(&mut known, harness.next_update().await);
+        harness
+            .address
+            .send(NEW_ADDRESS.parse().expect("an address"))
+            .expect("the client watches its address");
+        let mut next = harness.next_connection().await;
+        assert!(known.len() < LONG_LIST_SERVERS, "{}", known.len());
+        receive_until(&mut harness, &mut known, LONG_LIST_SERVERS).await;
+        assert!(next.send_head().await.contains("index=8 "));
+        // Its list is stale and undoes nothing, but the drains of held servers in it are applied.
+        write_in_chunks(&mut next, &list(7, true, &entries(LONG_LIST_SERVERS - 1, "terminating"))).await;
+        receive_until(&mut harness, &mut known, 1).await;
     });
 }
 
 #[test]
-fn nothing_of_a_long_list_counts_before_its_end() {
-    played(async || {
-        let mut rig = Rig::start("", false);
-        let mut call = rig.call().await;
-        call.open().await;
-        let text = list(8, true, &entries(MANY, "in_service"));
-        write_long(&mut call, &text[..text.len() - 3]).await;
-        drop(call);
-        let mut next = rig.call().await;
-        assert!(next.open().await.contains("index=0 "));
-        assert!(rig.news.try_recv().is_err());
-        write_long(&mut next, &text).await;
-        until_known(&mut rig, &mut BTreeSet::new(), MANY).await;
+fn truncated_long_list_changes_nothing() {
+    run_paused(async || {
+        let mut harness = Harness::start("", false);
+        let mut connection = harness.next_connection().await;
+        connection.send_head().await;
+        let text = list(8, true, &entries(LONG_LIST_SERVERS, "in_service"));
+        write_in_chunks(&mut connection, &text[..text.len() - 3]).await;
+        drop(connection);
+        let mut next = harness.next_connection().await;
+        assert!(next.send_head().await.contains("index=0 "));
+        assert!(harness.updates.try_recv().is_err());
+        write_in_chunks(&mut next, &text).await;
+        receive_until(&mut harness, &mut BTreeSet::new(), LONG_LIST_SERVERS).await;
     });
 }
 
-/// The list of the configuration is passed on whole, and what it holds and the first list does not is gone.
+/// The cached list is sent whole, and its servers that the first list leaves out are gone.
 #[test]
-fn a_long_list_that_was_known_is_replaced() {
-    played(async || {
+fn first_list_replaces_a_long_cached_list() {
+    run_paused(async || {
         let mut config = config("", GRACE);
-        config.known_list = Some(list(8, true, &entries(MANY, "in_service")));
-        let (mut rig, mut known) = (Rig::of(config, false), BTreeSet::new());
-        let news = rig.news().await;
-        assert_eq!((news.kind, news.backends.len()), (ListKind::Cached, MANY));
-        taken(&mut known, news);
-        let mut call = rig.call().await;
-        assert!(call.open().await.contains("index=8 "));
-        write_long(&mut call, &list(3, true, &entries(MANY - 500, "in_service"))).await;
-        until_known(&mut rig, &mut known, MANY - 500).await;
+        config.known_list = Some(list(8, true, &entries(LONG_LIST_SERVERS, "in_service")));
+        let (mut harness, mut known) = (Harness::with_config(config, false), BTreeSet::new());
+        let update = harness.next_update().await;
+        assert_eq!((update.kind, update.backends.len()), (ListKind::Cached, LONG_LIST_SERVERS));
+        apply_update(&mut known, update);
+        let mut connection = harness.next_connection().await;
+        assert!(connection.send_head().await.contains("index=8 "));
+        write_in_chunks(&mut connection, &list(3, true, &entries(LONG_LIST_SERVERS - 500, "in_service")))
+            .await;
+        receive_until(&mut harness, &mut known, LONG_LIST_SERVERS - 500).await;
     });
 }
 
 #[test]
-fn a_list_that_is_too_long_is_not_asked_for_again_at_once() {
-    played(async || {
+fn list_over_the_server_limit_is_requested_again_after_a_long_backoff() {
+    run_paused(async || {
         let mut config = config("", GRACE);
-        config.max_listed_servers = MANY;
-        let mut rig = Rig::of(config, false);
-        let mut call = rig.call().await;
-        call.open().await;
-        let text = list(8, true, &entries(MANY + 1, "in_service"));
-        for piece in text.as_bytes().chunks(8 << 10) {
-            let chunk = format!("{:x}\r\n{}\r\n", piece.len(), std::str::from_utf8(piece).expect("ASCII"));
-            if call.pipe.write_all(chunk.as_bytes()).await.is_err() {
-                break; // the node has left
+        config.max_listed_servers = LONG_LIST_SERVERS;
+        let mut harness = Harness::with_config(config, false);
+        let mut connection = harness.next_connection().await;
+        connection.send_head().await;
+        let text = list(8, true, &entries(LONG_LIST_SERVERS + 1, "in_service"));
+        for chunk in text.as_bytes().chunks(8 << 10) {
+            let chunk = format!("{:x}\r\n{}\r\n", chunk.len(), std::str::from_utf8(chunk).expect("ASCII"));
+            if connection.pipe.write_all(chunk.as_bytes()).await.is_err() {
+                break; // the client has closed it
             }
         }
-        let mut next = rig.call().await;
-        assert!((5_000..=10_001).contains(&ms(next.at)), "{:?}", next.at);
-        // Nor may changes add up to more.
-        next.open().await;
-        write_long(&mut next, &list(8, true, &entries(MANY, "in_service"))).await;
-        until_known(&mut rig, &mut BTreeSet::new(), MANY).await;
-        let again = rig.begun.elapsed();
+        let mut next = harness.next_connection().await;
+        assert!((5_000..=10_001).contains(&millis(next.at)), "{:?}", next.at);
+        // An incremental update may not exceed the limit either.
+        next.send_head().await;
+        write_in_chunks(&mut next, &list(8, true, &entries(LONG_LIST_SERVERS, "in_service"))).await;
+        receive_until(&mut harness, &mut BTreeSet::new(), LONG_LIST_SERVERS).await;
+        let second_start = harness.started.elapsed();
         next.write(&list(9, false, &[entry("one-more", "in_service", 0)])).await;
-        let after = rig.call().await;
-        assert!((5_000..=10_001).contains(&ms(after.at - again)), "{:?}", after.at);
-        assert!(rig.news.try_recv().is_err());
+        let after = harness.next_connection().await;
+        assert!((5_000..=10_001).contains(&millis(after.at - second_start)), "{:?}", after.at);
+        assert!(harness.updates.try_recv().is_err());
     });
 }
--- a/src/control/discovery/timeouts.rs
+++ b/src/control/discovery/timeouts.rs
@@ -1,45 +1,59 @@
-//! The one clock for silence: how long a watch may say nothing, how long a call is waited for, and how soon the next one
-//! follows. It holds for lists that are pushed and for those that are asked for.
+//! Timeouts and backoff of the discovery client: the liveness timeout of a watch, the response timeout of a
+//! request and the delay before reconnecting. They apply whether lists are pushed or requested.
 
 use std::time::Duration;
 
-/// A watch that says nothing for so long is broken, whatever TCP says. An empty line is due every 2 s; half a second is
-/// for a busy machine. What a silent watch misses counts as told 6 s after it fell silent, and binds a grace later:
-/// two watches that fall silent one after the other leave a third one that opens 5.2 s after the first did.
-pub const SILENCE: Duration = Duration::from_millis(2_500);
-/// The pause after a watch that had lasted.
-pub const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// A watch that broke after less is no better than a call that failed, and the next pause is longer.
-pub const LASTED: Duration = Duration::from_secs(2);
+/// A watch that receives nothing for this long is treated as stalled, even if its TCP connection is open.
+///
+/// The agent sends an empty line every 2 s; the other half second allows for a busy machine. A change missed
+/// by a stalled watch counts as announced 6 s after the stall began, and is enforced one drain grace later.
+/// After two stalled watches in a row a third one opens 5.2 s after the first stall began, which is in time.
+pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The first backoff, used after a stable watch.
+pub const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// A watch that lasted longer than this was stable. A shorter one counts as a failed attempt and increases
+/// the backoff.
+pub const STABLE_AFTER: Duration = Duration::from_secs(2);
 
-/// The pause after a list that was too long to be taken in: reading it up to there takes some tenths of a second each time.
-pub const OVERLONG_PAUSE: Duration = Duration::from_secs(10);
+/// The backoff after a list with too many servers: reading it up to the limit takes some tenths of a second
+/// each time.
+pub const LIST_TOO_LONG_BACKOFF: Duration = Duration::from_secs(10);
 
-/// A call that the agent has not begun to answer after so long is given up: it answers at once if it does at all.
-const LONGEST_CALL: Duration = Duration::from_secs(1);
-/// Less would give up calls of a node that waits for its share of a core.
-const SHORTEST_CALL: Duration = Duration::from_millis(250);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// Where lists must be asked for each call is priced, and what the agent gets does not count at once but 6 s later. A watch
-/// that is silent when discovery returns and this pause, or a call and this pause, are over before that.
-const LONGEST_ASKED_PAUSE: Duration = Duration::from_secs(2);
+/// Upper limit of the response timeout. An agent that works answers at once.
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Lower limit of the response timeout. With less, a node that waits for CPU time would abandon requests that
+/// succeed.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Upper limit of the backoff where lists are pushed.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// Upper limit of the backoff where lists are requested: there each request has a cost, and a change that the
+/// agent holds counts as announced only 6 s later. When discovery recovers, the node may still have to wait
+/// for the liveness timeout of a stalled watch, or the response timeout of a request, plus this backoff; both
+/// sums are below 6 s.
+const MAX_ON_REQUEST_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How long a call may take.
+/// How long to wait for the head of a response, given the drain grace.
 ///
-/// An agent that returns may hold a drain, which binds one grace later. The call that its silence has caught and the
-/// pause after it take three quarters of that at most; the rest is for the call that is answered. Where the grace is
-/// under half a second that can't be held, and where there is none nothing has to be.
-pub fn call(grace: Duration) -> Duration {
-    if grace.is_zero() { LONGEST_CALL } else { (grace / 2).clamp(SHORTEST_CALL, LONGEST_CALL) }
+/// An agent that recovers may hold a drain, which is enforced one drain grace later. The response timeout of
+/// the request that the outage caught and the backoff after it take three quarters of the grace at most; the
+/// rest is left for the request that succeeds. With a grace below half a second this can't be met; without a
+/// grace nothing is required.
+pub fn response_timeout(grace: Duration) -> Duration {
+    if grace.is_zero() {
+        MAX_RESPONSE_TIMEOUT
+    } else {
+        (grace / 2).clamp(MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT)
+    }
 }
 
-/// The longest pause between calls that fail, before it is cut by chance to half at the least. A node whose agent
-/// refuses calls 4 times a second at a grace of 2 s, one whose agent says nothing once.
-pub fn longest_pause(grace: Duration, asked: bool) -> Duration {
-    if asked {
-        return LONGEST_ASKED_PAUSE;
+/// The longest backoff between failed requests; jitter reduces it to between half and all of it. At a grace
+/// of 2 s a node sends 4 requests a second to an agent that refuses connections, and one a second to an agent
+/// that does not answer.
+pub fn max_backoff(grace: Duration, on_request: bool) -> Duration {
+    if on_request {
+        return MAX_ON_REQUEST_BACKOFF;
     }
-    if grace.is_zero() { LONGEST_PAUSE } else { (grace / 4).clamp(FIRST_PAUSE, LONGEST_PAUSE) }
+    if grace.is_zero() { MAX_BACKOFF } else { (grace / 4).clamp(MIN_BACKOFF, MAX_BACKOFF) }
 }
 
 #[cfg(test)]
@@ -47,22 +61,25 @@
     use super::*;
 
     #[test]
-    fn a_call_and_its_pause_leave_a_quarter_of_the_grace() {
+    fn response_timeout_and_backoff_leave_a_quarter_of_the_grace() {
         for ms in [500, 700, 1_000, 2_000, 5_000, 60_000] {
             let grace = Duration::from_millis(ms);
-            assert!(call(grace) + longest_pause(grace, false) <= grace * 3 / 4, "{grace:?}");
+            assert!(response_timeout(grace) + max_backoff(grace, false) <= grace * 3 / 4, "{grace:?}");
         }
         for grace in [Duration::ZERO, Duration::from_millis(1)] {
-            assert!(call(grace) >= SHORTEST_CALL && longest_pause(grace, false) >= FIRST_PAUSE, "{grace:?}");
+            assert!(
+                response_timeout(grace) >= MIN_RESPONSE_TIMEOUT && max_backoff(grace, false) >= MIN_BACKOFF,
+                "{grace:?}"
+            );
         }
     }
 
     #[test]
-    fn a_third_watch_opens_before_what_two_have_missed_counts() {
-        assert!(2 * (SILENCE + FIRST_PAUSE) < Duration::from_secs(6));
-        assert!(SILENCE > Duration::from_secs(2), "an empty line is in time");
-        // Wherever a return of discovery finds the node, with as much left for the call that is answered.
-        let worst = SILENCE.max(LONGEST_CALL) + longest_pause(Duration::ZERO, true);
-        assert!(worst + LONGEST_CALL < Duration::from_secs(6), "{worst:?}");
+    fn third_watch_opens_before_changes_missed_by_two_stalled_ones_count() {
+        assert!(2 * (LIVENESS_TIMEOUT + MIN_BACKOFF) < Duration::from_secs(6));
+        assert!(LIVENESS_TIMEOUT > Duration::from_secs(2), "an empty line every 2 s keeps a watch alive");
+        // The worst state of the node when discovery recovers, plus the request that succeeds.
+        let worst = LIVENESS_TIMEOUT.max(MAX_RESPONSE_TIMEOUT) + max_backoff(Duration::ZERO, true);
+        assert!(worst + MAX_RESPONSE_TIMEOUT < Duration::from_secs(6), "{worst:?}");
     }
 }
--- a/src/control/discovery/versions.rs
+++ b/src/control/discovery/versions.rs
@@ -1,5 +1,5 @@
-//! Which lists are news. An agent may come back with a list older than the one that the node was told; believed, it
-//! would undo a drain.
+//! The version and the servers that the node holds, and which lists are stale. An agent that reconnects may
+//! send a list older than the one that the node holds; applying it would undo a drain.
 
 use crate::control::updates::Backend;
 use crate::{ListKind, ServerId, ServerState};
@@ -8,105 +8,113 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Discovery that says nothing but older versions for so long has begun anew, and is believed. An agent catches up sooner:
-/// what discovery tells is 6 s late at the most.
-pub const INSISTS: Duration = Duration::from_secs(10);
+/// After this long with nothing but stale lists, discovery must have restarted its version numbers, and its
+/// list is accepted. An agent that is merely behind has caught up by then: discovery's announcements are at
+/// most 6 s late.
+pub const ACCEPT_STALE_AFTER: Duration = Duration::from_secs(10);
 
-/// A backend's life, as the node was told of it.
+/// When a listed server started, and who said so.
 #[derive(Clone, Copy)]
-struct Life {
+struct HeldServer {
     started: Option<Duration>,
-    /// An agent has told of it. What is known from before refuses nothing.
+    /// An agent listed it, not only the cached list of the configuration, which makes no list stale.
     by_agent: bool,
 }
 
-/// What the node holds of the list.
+/// The version of the list that the node holds, and the servers in it.
 #[derive(Default)]
-pub struct Versions {
-    /// The version to ask from.
+pub struct HeldList {
+    /// The version to resume the watch from.
     pub index: u64,
-    /// The version that an agent has told this process. What is known from before binds nobody: any list replaces it.
-    told: Option<u64>,
-    /// The listed backends. 40 bytes each, and no more than [`Config::max_listed_servers`](crate::control::config::Config) of
-    /// them come in one list.
-    lives: BTreeMap<ServerId, Life>,
-    /// Since when all that came was older.
-    doubted: Option<Instant>,
+    /// The version received from an agent; `None` while the node holds only the cached list, which any list
+    /// replaces.
+    agent_index: Option<u64>,
+    /// The listed servers: 40 bytes each, and at most
+    /// [`Config::max_listed_servers`](crate::control::config::Config) of them in one list.
+    servers: BTreeMap<ServerId, HeldServer>,
+    /// When the first stale list arrived since the last one that was not stale.
+    stale_since: Option<Instant>,
 }
 
-impl Versions {
-    /// Whether a list is older than what is held, and not to be believed. `whole`: it needs no other one to be read.
-    pub fn is_old(&mut self, index: Option<u64>, whole: bool, now: Instant) -> bool {
-        if index.zip(self.told).is_none_or(|(index, told)| index >= told) {
-            self.doubted = None;
+impl HeldList {
+    /// Whether a list is older than what is held and must be refused. `full`: it is a full snapshot, which
+    /// may be accepted once stale lists have come for [`ACCEPT_STALE_AFTER`].
+    pub fn is_stale(&mut self, index: Option<u64>, full: bool, now: Instant) -> bool {
+        if index.zip(self.agent_index).is_none_or(|(index, agent_index)| index >= agent_index) {
+            self.stale_since = None;
             return false;
         }
-        let since = *self.doubted.get_or_insert(now);
-        if whole && now >= since + INSISTS {
-            self.start_anew();
+        let since = *self.stale_since.get_or_insert(now);
+        if full && now >= since + ACCEPT_STALE_AFTER {
+            self.reset();
         }
-        self.told.is_some()
+        self.agent_index.is_some()
     }
 
-    /// What counts of an older list all the same, since no other list can make it untrue: a backend that the node holds
-    /// stops, or has started later than the node knew. Only that is left.
-    pub fn keep_certain(&self, backends: &mut Vec<Backend>) {
+    /// Keeps only the entries of a stale list that no newer list can contradict: a held server drains or is
+    /// gone, or it has started later than the node knew.
+    pub fn retain_certain(&self, backends: &mut Vec<Backend>) {
         backends.retain(|backend| {
             let entry = &backend.entry;
-            let held = self.lives.get(&entry.id).filter(|held| held.by_agent);
-            held.is_some_and(|Life { started, .. }| {
+            let held = self.servers.get(&entry.id).filter(|held| held.by_agent);
+            held.is_some_and(|HeldServer { started, .. }| {
                 entry.started > *started || entry.started == *started && entry.state != ServerState::Ready
             })
         });
     }
 
-    /// How many backends are listed.
+    /// How many servers are listed.
     pub fn len(&self) -> usize {
-        self.lives.len()
+        self.servers.len()
     }
 
-    /// Whether this backend is listed.
-    pub fn holds(&self, id: ServerId) -> bool {
-        self.lives.contains_key(&id)
+    /// Whether this server is listed.
+    pub fn contains(&self, id: ServerId) -> bool {
+        self.servers.contains_key(&id)
     }
 
-    /// The listed backends from there on, by number, and when they started.
-    pub fn after(&self, after: Bound<ServerId>) -> impl Iterator<Item = (ServerId, Option<Duration>)> {
-        self.lives.range((after, Bound::Unbounded)).map(|(id, life)| (*id, life.started))
+    /// The listed servers after a bound, ordered by id, and when each started.
+    pub fn servers_after(
+        &self,
+        after: Bound<ServerId>,
+    ) -> impl Iterator<Item = (ServerId, Option<Duration>)> {
+        self.servers.range((after, Bound::Unbounded)).map(|(id, server)| (*id, server.started))
     }
 
-    /// Notes what the node has been told of backends.
-    pub fn note(&mut self, kind: ListKind, backends: &[(ServerId, ServerState, Option<Duration>)]) {
+    /// Records the servers of a list that was sent to the node.
+    pub fn record(&mut self, kind: ListKind, backends: &[(ServerId, ServerState, Option<Duration>)]) {
         if kind != ListKind::Changes {
-            self.lives.clear();
+            self.servers.clear();
         }
         let by_agent = kind != ListKind::Cached;
         for (id, state, started) in backends {
             match state {
-                ServerState::Gone => self.lives.remove(id),
-                _ => self.lives.insert(*id, Life { started: *started, by_agent }),
+                ServerState::Gone => self.servers.remove(id),
+                _ => self.servers.insert(*id, HeldServer { started: *started, by_agent }),
             };
         }
     }
 
-    /// Notes the version that the node has now; `by_agent`: it was not known from before.
-    pub fn hold(&mut self, index: u64, by_agent: bool) {
+    /// Sets the version that the node holds now. `by_agent`: it came from an agent and not from the cached
+    /// list.
+    pub fn set_index(&mut self, index: u64, by_agent: bool) {
         self.index = index;
-        self.told = by_agent.then_some(index);
+        self.agent_index = by_agent.then_some(index);
     }
 
-    /// When what has been refused is to be believed.
-    pub fn believed_at(&self) -> Option<Instant> {
-        self.doubted.map(|since| since + INSISTS)
+    /// When stale lists are to be accepted, if any have come.
+    pub fn accept_stale_at(&self) -> Option<Instant> {
+        self.stale_since.map(|since| since + ACCEPT_STALE_AFTER)
     }
 
-    /// A watch has nothing older to tell.
-    pub fn trust(&mut self) {
-        self.doubted = None;
+    /// A watch has nothing newer than the held version: the agent is not behind.
+    pub fn clear_stale(&mut self) {
+        self.stale_since = None;
     }
 
-    /// The next list is believed, whatever its version; the whole of it is asked for.
-    pub fn start_anew(&mut self) {
-        (self.index, self.told, self.doubted) = (0, None, None);
+    /// Accepts the next list whatever its version, and resumes from version 0, which asks for a full
+    /// snapshot.
+    pub fn reset(&mut self) {
+        (self.index, self.agent_index, self.stale_since) = (0, None, None);
     }
 }
--- a/src/control/log.rs
+++ b/src/control/log.rs
@@ -1,9 +1,9 @@
-//! The log: lines on standard error.
+//! Logging to standard error.
 
 use std::fmt::Display;
 use std::io::{self, Write};
 
-/// A line for the operators. Nobody reading the log is no reason to stop serving.
+/// Writes a line to the log. Write errors are ignored: the node goes on serving when nobody reads its log.
 pub fn log(text: impl Display) {
     let _ = writeln!(io::stderr().lock(), "sillward: {text}");
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,6 +1,8 @@
-//! The control side of a node, apart from the requests that it serves: its configuration, the discovery client,
-//! its part in membership and the files that outlive a process. The node runs it, and so does whatever stands for many nodes
-//! without serving requests. It decides nothing: decisions are in [`crate::Balancer`].
+//! The control side of a node, apart from the requests that it serves: its configuration, the service
+//! discovery client, the server table, membership, and state saved on disk.
+//!
+//! It is used by the node, and by test programs that simulate many nodes without serving requests. It makes
+//! no load-balancing decisions; those are in [`crate::Balancer`].
 
 pub mod clock;
 pub mod config;
--- a/src/control/updates.rs
+++ b/src/control/updates.rs
@@ -1,29 +1,32 @@
-//! What the discovery client and its owner tell each other: types alone.
+//! Messages between the discovery client and the node that owns it.
 
 use crate::{ListKind, ServerEntry};
 use std::net::SocketAddr;
 
-/// An entry of the server list, and where that backend listens.
+/// A backend: a server's entry as the decision module has it, plus its address. The decision module's
+/// `server` and the node's `backend` are the same thing.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// What the module is told of it.
+    /// The entry that the decision module receives.
     pub entry: ServerEntry,
-    /// Its address, as seen from this node; unspecified for one that is gone because a whole list leaves it out.
+    /// Its address, as seen from this node; unspecified for a server that is gone because a full list leaves
+    /// it out.
     pub address: SocketAddr,
 }
 
-/// A change of the server list, or the whole of it. What a long list changes comes as several changes.
+/// An incremental update of the server list, or a full one. A long list is sent as several incremental
+/// updates.
 pub struct ListUpdate {
-    /// How the entries are to be taken.
+    /// Whether the entries are an update or the full list, and where they come from.
     pub kind: ListKind,
-    /// The entries, each backend once.
+    /// The backends, each once.
     pub backends: Vec<Backend>,
 }
 
-/// What the module asks of discovery, where the list must be asked for.
+/// A command of the decision module to the discovery client, where lists are requested and not pushed.
 pub enum DiscoveryCommand {
-    /// Open the watch, or close it.
+    /// Open the watch (`true`) or close it (`false`).
     Subscribe(bool),
-    /// Ask for the whole list once.
+    /// Request a full list once.
     Fetch,
 }
