--- a/src/control/discovery/tests.rs
+++ b/src/control/discovery/tests.rs
@@ -439,7 +439,7 @@
     }
 }
 
-// ---- Address changes-----------------------------------------------------------------------------
+// ---- Address changes ----------------------------------------------------------------------------
 
 #[test]
 fn address_change_reconnects_at_once_in_any_state() {
