--- a/src/control/discovery/apply.rs
+++ b/src/control/discovery/apply.rs
@@ -222,7 +222,7 @@
     }
 
     pub(super) async fn send(&self, kind: ListKind, backends: Vec<Backend>) {
-        let _ = self.messages.send(ListUpdate { kind, backends }.into()).await; // fails only after the node ended
+        let _ = self.messages.send(ListUpdate { kind, backends }.into()).await; // the node may have ended
     }
 }
 
--- a/src/control/discovery/framing.rs
+++ b/src/control/discovery/framing.rs
@@ -175,7 +175,8 @@
             MAX_SHORT_LIST_BYTES,
         )));
         let taken = self.feed_incremental(&start, output)?;
-        // The end of the value was in the buffer but had not been found; usually only a few bytes follow it.
+        // If the value ends within the buffer, its end had not been found; usually only a few bytes follow
+        // it.
         self.scan_short(&start[taken..], output)
     }
 
--- a/src/control/discovery/mod.rs
+++ b/src/control/discovery/mod.rs
@@ -1,5 +1,7 @@
 //! The service discovery client: it keeps the node's server list up to date over a streaming watch of the
 //! agent, a long poll whose response never ends, and reconnects with backoff and jitter when the watch fails.
+//! Lists are pushed, and the watch is always open; or, with the registry mode `ask`, they are requested, and
+//! the decision module subscribes when it needs them.
 //!
 //! `framing` splits the stream into JSON values, `incremental` parses long lists while they arrive, `entry`
 //! parses one entry, `versions` detects stale lists, `apply` applies a list, `chunks` sends a long one in
--- a/src/control/discovery/tests.rs
+++ b/src/control/discovery/tests.rs
@@ -235,16 +235,16 @@
         });
         run_paused(async || {
             let mut harness = Harness::start("", false);
-            let (mut silent, end) = (Vec::new(), Duration::from_millis(20_000 + extra_ms));
+            let (mut unanswered, end) = (Vec::new(), Duration::from_millis(20_000 + extra_ms));
             let connection = loop {
                 let connection = harness.next_connection().await;
                 if connection.at >= end {
                     break connection;
                 }
-                silent.push(connection); // kept open without an answer
+                unanswered.push(connection); // kept open without an answer
             };
             assert!(connection.at - end <= GRACE * 3 / 4, "{:?}", connection.at - end);
-            assert!(silent.len() as f64 <= 1.2 * end.as_secs_f64(), "{}", silent.len());
+            assert!(unanswered.len() as f64 <= 1.2 * end.as_secs_f64(), "{}", unanswered.len());
         });
     }
 }
--- a/src/control/discovery/versions.rs
+++ b/src/control/discovery/versions.rs
@@ -17,14 +17,15 @@
 #[derive(Clone, Copy)]
 struct HeldServer {
     started: Option<Duration>,
-    /// An agent listed it, not only the cached list of the configuration, which makes no list stale.
+    /// Whether an agent listed it. Servers known from the cached list alone are not compared with a stale
+    /// list.
     by_agent: bool,
 }
 
 /// The version of the list that the node holds, and the servers in it.
 #[derive(Default)]
 pub struct HeldList {
-    /// The version to resume the watch from.
+    /// The resource version to resume the watch from.
     pub index: u64,
     /// The version received from an agent; `None` while the node holds only the cached list, which any list
     /// replaces.
@@ -37,8 +38,9 @@
 }
 
 impl HeldList {
-    /// Whether a list is older than what is held and must be refused. `full`: it is a full snapshot, which
-    /// may be accepted once stale lists have come for [`ACCEPT_STALE_AFTER`].
+    /// Whether a list is older than what is held and must be refused; keeps track of how long only stale
+    /// lists have come. `full`: it is a full snapshot, which is accepted after [`ACCEPT_STALE_AFTER`] of
+    /// them.
     pub fn is_stale(&mut self, index: Option<u64>, full: bool, now: Instant) -> bool {
         if index.zip(self.agent_index).is_none_or(|(index, agent_index)| index >= agent_index) {
             self.stale_since = None;
