--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! Every decision of hillpick, one file a concern. Types, events and actions are in `src/interface.rs`; what
-//! a node remembers of servers and requests in `src/state.rs`; departures from the paper in `README.md`.
+//! All decisions of a node, one file for each concern. Types, events and actions are in `src/interface.rs`,
+//! the remembered state in `src/state.rs`. `README.md` lists the departures from the paper on Join-Up-To(m).
 
 mod constants;
 mod dispatch;
@@ -16,52 +16,52 @@
 
 use crate::interface::*;
 pub use crate::state::Balancer;
-use constants::{LOAD_LEVELS, RETRY_BUDGET_RATIO, TICK};
+use constants::{LIST_TIMER, LOAD_LEVELS, RETRY_BUDGET_RATIO};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::time::Duration;
 
 impl Balancer {
-    /// A node that has just started and holds no state.
+    /// The decisions of a node that has just started and knows no servers.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let aim = settings.classes.iter().map(|c| c.latency_target).min().unwrap_or_default();
-        let mut node = Balancer::empty(settings, Pcg32::seed_from_u64(seed));
-        (node.answer_time, node.median) = (aim.as_secs_f64() / 2.0, aim / 4);
-        (node.sends, node.idle_signs, node.busy) = (1.0, 1.0, 0.5);
-        (node.in_time_by_load, node.taken, node.retry_tokens) =
+        let target = settings.classes.iter().map(|c| c.latency_target).min().unwrap_or_default();
+        let mut balancer = Balancer::empty(settings, Pcg32::seed_from_u64(seed));
+        (balancer.answer_time_s, balancer.median) = (target.as_secs_f64() / 2.0, target / 4);
+        (balancer.recent_sends, balancer.recent_idle_reports, balancer.busy_share) = (1.0, 1.0, 0.5);
+        (balancer.in_time_by_load, balancer.admission, balancer.retry_tokens) =
             (vec![0.25; LOAD_LEVELS], 2.0, 1.0 / RETRY_BUDGET_RATIO);
-        node
+        balancer
     }
 
-    /// Takes in what happened at `now` and adds what is to be done to `actions`, in order.
+    /// Handles an event that happened at `now` and appends the actions to take, in order.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let first = self.now.is_zero();
         self.now = now.max(self.now).max(Duration::from_nanos(1));
         if first && self.settings.list_on_request {
-            // All nodes may have started together: they spread their first calls.
-            self.ask_at = Some(self.now + self.ask_within().mul_f64(self.random() / 4.0));
-            self.on_tick(actions);
+            // Many nodes may start together: a random delay spreads their first calls for the list.
+            self.poll_at = Some(self.now + self.refresh_interval().mul_f64(self.random() / 4.0));
+            self.on_list_timer(actions);
         }
-        self.tend_zones(false, actions);
+        self.update_zones(false, actions);
         match event {
             Event::List { kind, entries } => {
                 self.on_list(kind, entries);
-                self.tend_zones(true, actions);
+                self.update_zones(true, actions);
             }
-            Event::SubsetRings(rings) => self.held_rings = rings,
+            Event::SubsetRings(rings) => self.subset_rings = rings,
             Event::Request(new) => self.on_request(new, actions),
-            Event::BodyReceived { id } => self.on_arrived(id, actions),
-            Event::AnswerStarted { id, attempt, .. } => self.on_started(id, attempt, actions),
-            Event::AttemptEnded(end) => self.on_outcome(end, actions),
+            Event::BodyReceived { id } => self.on_body_received(id, actions),
+            Event::AnswerStarted { id, attempt, .. } => self.on_answer_started(id, attempt, actions),
+            Event::AttemptEnded(end) => self.on_attempt_ended(end, actions),
             Event::ClientGone { id } => self.close(id, actions),
-            Event::Timer { token: TICK } => self.on_tick(actions),
+            Event::Timer { token: LIST_TIMER } => self.on_list_timer(actions),
             Event::Timer { token } => self.on_request_timer(RequestId(token), actions),
-            Event::ProbeEnded(end) => self.on_probed(end, actions),
+            Event::ProbeEnded(end) => self.on_probe_ended(end, actions),
             Event::Settings { settings, previous_classes: classes, previous_tenants: tenants } => {
-                self.resettle(*settings, &classes, &tenants)
+                self.apply_settings(*settings, &classes, &tenants)
             }
-            Event::FleetView(tier) => self.tier = Some(tier),
-            Event::Evacuate { zone, duration: lasts } => self.on_evacuate(zone, lasts, actions),
+            Event::FleetView(view) => self.fleet_view = Some(view),
+            Event::Evacuate { zone, duration } => self.on_evacuate(zone, duration, actions),
             Event::PeerMessage { .. } => {}
         }
     }
--- a/src/policy/server_list.rs
+++ b/src/policy/server_list.rs
@@ -1,77 +1,77 @@
-//! The server list: what it changes, the ring that it makes, and when it is asked for.
+//! The server list: its changes, the ring of ready servers, and when the list is requested.
 
-use super::constants::TICK;
+use super::constants::LIST_TIMER;
 use crate::interface::*;
-use crate::state::{Balancer, Server, margin, merge_ring};
+use crate::state::{Balancer, Server, max_cold_time, merge_ring};
 use std::time::Duration;
 
-/// What discovery has counts as told after so long at the latest, whatever the settings allow between calls.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// The timer has a 64th of the time between calls, and fires once a millisecond at most.
-const LEAST_WITHIN: Duration = Duration::from_millis(64);
+/// A node counts as told of what discovery knows after this time, however rare calls the settings allow.
+const MAX_REFRESH_INTERVAL: Duration = Duration::from_secs(6);
+/// The list's timer runs at a 64th of the interval, and so once a millisecond at most.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(64);
 
 impl Balancer {
     pub(super) fn on_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         if kind == ListKind::Failed {
-            let within = self.ask_within();
-            self.ask_wait = (2 * self.ask_wait).clamp(within / 16, within / 2);
-            self.ask_at = Some(self.now + self.ask_wait.mul_f64(0.5 + self.random() / 2.0));
+            let interval = self.refresh_interval();
+            self.poll_backoff = (2 * self.poll_backoff).clamp(interval / 16, interval / 2);
+            self.poll_at = Some(self.now + self.poll_backoff.mul_f64(0.5 + self.random() / 2.0));
             return;
         }
         if !matches!(kind, ListKind::Cached | ListKind::Subset) {
-            (self.ask_at, self.ask_wait) = (None, Duration::ZERO);
+            (self.poll_at, self.poll_backoff) = (None, Duration::ZERO);
         }
-        // One newly listed or restarted has the usual estimate: at zero all nodes would join it at once.
-        let near = self.candidate_limit().min(self.ready_ring.len());
-        let count = self.ring(None).take(near).map(|server| server.count).sum::<u32>() / near.max(1) as u32;
-        let whole = matches!(kind, ListKind::Full | ListKind::Cached);
-        if whole {
+        // A new or restarted server gets the mean queue estimate: at zero all nodes would choose it at once.
+        let count = self.candidate_limit().min(self.ready_ring.len());
+        let estimate = self.ring(None).take(count).map(|s| s.estimate).sum::<u32>() / count.max(1) as u32;
+        let full = matches!(kind, ListKind::Full | ListKind::Cached);
+        if full {
             self.servers.values_mut().for_each(|s| s.entry.state = ServerState::Gone);
             self.ready_ring.clear();
         }
         let mut changes = Vec::with_capacity(entries.len());
         for entry in entries {
-            let place = self.servers.place(entry.id);
-            let old = self.servers.take(place);
+            let slot = self.servers.slot_for(entry.id);
+            let old = self.servers.take(slot);
             let same = old.entry.id == entry.id && old.entry.started == entry.started;
-            let new = Server { out: old.out, drawn: self.now, count, ..Server::default() };
+            let new = Server { in_flight: old.in_flight, drawn_at: self.now, estimate, ..Server::default() };
             if entry.state != ServerState::Gone {
-                self.servers.put(place, Server { entry, ..if same { old } else { new } });
+                self.servers.put(slot, Server { entry, ..if same { old } else { new } });
             }
-            let warm_at = entry.started.map(|at| at + margin(self.settings.rules.warm_up_time));
-            self.warm_at = self.warm_at.max(warm_at.unwrap_or_default());
-            changes.push((entry.id.ring_position(), (entry.state == ServerState::Ready).then_some(place)));
+            let warm_at = entry.started.map(|at| at + max_cold_time(self.settings.rules.warm_up_time));
+            self.all_warm_at = self.all_warm_at.max(warm_at.unwrap_or_default());
+            changes.push((entry.id.ring_position(), (entry.state == ServerState::Ready).then_some(slot)));
             if entry.state == ServerState::Gone {
                 self.servers.remove(&entry.id);
             }
         }
         merge_ring(&mut self.ready_ring, changes);
-        if whole {
-            self.servers.gone().iter().for_each(|id| self.servers.remove(id));
+        if full {
+            self.servers.gone_ids().iter().for_each(|id| self.servers.remove(id));
         }
     }
 
-    /// All nodes see the same ring of ready servers and start evenly spaced, so that each has as many nodes.
+    /// The ring from this node's start on. Starts are evenly spaced, so that each server has as many nodes.
     pub(super) fn ring(&self, zone: Option<u8>) -> impl Iterator<Item = &Server> {
-        let first = match self.held_rings.iter().find(|ring| ring.zone == zone) {
+        let first = match self.subset_rings.iter().find(|ring| ring.zone == zone) {
             Some(held) => self.ready_ring.partition_point(|(at, _)| *at < held.first),
             None => self.ring_layout().first_rank(self.ready_ring.len()),
         };
         let (before, after) = self.ready_ring.split_at(first);
-        after.iter().chain(before).map(|(_, place)| self.servers.at(*place))
+        after.iter().chain(before).map(|(_, slot)| self.servers.at(*slot))
     }
 
-    /// Discovery must be asked again within this.
-    pub(super) fn ask_within(&self) -> Duration {
-        self.settings.rules.list_refresh_interval.clamp(LEAST_WITHIN, TOLD_AFTER)
+    /// Discovery must be asked again within this time.
+    pub(super) fn refresh_interval(&self) -> Duration {
+        self.settings.rules.list_refresh_interval.clamp(MIN_REFRESH_INTERVAL, MAX_REFRESH_INTERVAL)
     }
 
-    /// Where the list must be asked for: asks when it is time, and again if no answer came.
-    pub(super) fn on_tick(&mut self, actions: &mut Vec<Action>) {
-        if self.ask_at.is_some_and(|at| self.now >= at) {
+    /// Where the list must be asked for: requests it when due, and again if no answer comes.
+    pub(super) fn on_list_timer(&mut self, actions: &mut Vec<Action>) {
+        if self.poll_at.is_some_and(|at| self.now >= at) {
             actions.push(Action::Subscribe { on: true });
-            self.ask_at = Some(self.now + self.ask_within() / 2);
+            self.poll_at = Some(self.now + self.refresh_interval() / 2);
         }
-        actions.push(Action::SetTimer { after: self.ask_within() / 64, token: TICK });
+        actions.push(Action::SetTimer { after: self.refresh_interval() / 64, token: LIST_TIMER });
     }
 }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,58 +1,58 @@
-//! The subset: which part of each ring of ready servers a node holds, where the list is too long for all.
+//! Subsetting: which part of each ring of ready servers a node holds where the list is too long for all.
 //!
-//! Parts are stretches of the ring that begin evenly spaced, so that each server is in as many parts as
-//! any other, but for one. When a server comes or goes, a part moves by one server at most at either end.
-//! A choice looks at fewer servers than a part has, in the same order as if the node held all: a subset
-//! changes no decision (`tests/subset.rs`). Where a request may be sent again only within a cell, the cells
-//! of the part's servers are held whole, for these requests alone.
+//! Parts are ranges of the ring with evenly spaced starts, so that each server is in as many parts as any
+//! other, but for one. When a server comes or goes, a part moves by at most one server at either end. A
+//! choice looks at fewer servers than a part has, in the same order as with all: a subset changes no decision
+//! (`tests/subset.rs`). Where requests may be retried only within a cell, the cells of the part's servers are
+//! held whole, for these requests alone.
 
 use super::constants::LOAD_LEVELS;
 use crate::interface::RingLayout;
 use crate::state::Balancer;
 
-/// The least that a part may be: judging a server looks at twice as many as are compared at the most.
+/// The fewest servers that a part may have: the ejection of one looks at twice as many as are ever compared.
 pub const LEAST_SUBSET: usize = 2 * LOAD_LEVELS;
-/// One server more in so many is held before the first in use: that moves to and fro by one as servers
-/// come and go, and what is known of a server is forgotten when it leaves.
-const BEFORE: usize = 8;
+/// One more server in so many is held before the first in use. That moves back and forth by one as servers
+/// come and go, and a server that leaves the part is forgotten.
+const LEADING_DIVISOR: usize = 8;
 
-/// Servers in a row on a ring, by rank; past the last one it goes on with the first.
+/// A range of servers on a ring, by rank; it wraps around at the ring's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingRange {
-    /// The rank of the first one held.
+    /// The rank of its first server.
     pub start: usize,
-    /// How many are held.
+    /// The number of its servers.
     pub length: usize,
 }
 
 impl RingLayout {
-    /// The rank of the first server that the node uses, of a ring with so many ready servers.
+    /// The rank of the first server that the node uses on a ring of `ready` servers.
     pub fn first_rank(&self, ready: usize) -> usize {
         self.node % self.nodes * ready / self.nodes
     }
 
-    /// What the node holds of such a ring: `servers` from the first that it uses, and a few before it.
+    /// The range that the node holds of such a ring: `servers` from the first in use, and a few before it.
     pub fn held_range(&self, ready: usize, servers: usize) -> RingRange {
-        let before = servers / BEFORE;
-        if servers + before >= ready {
+        let leading = servers / LEADING_DIVISOR;
+        if servers + leading >= ready {
             return RingRange { start: 0, length: ready };
         }
-        RingRange { start: (self.first_rank(ready) + ready - before) % ready, length: servers + before }
+        RingRange { start: (self.first_rank(ready) + ready - leading) % ready, length: servers + leading }
     }
 }
 
 impl Balancer {
-    /// How the rings are divided, as far as this node knows.
+    /// How the rings are divided among the nodes, as far as this node knows.
     pub fn ring_layout(&self) -> RingLayout {
-        let (node, nodes) = self.place();
-        RingLayout { node, nodes, by_zone: self.settings.zones.is_some(), whole_cells: self.keyed_in_cells }
+        let (node, nodes) = self.ring_place();
+        RingLayout { node, nodes, by_zone: self.settings.zones.is_some(), whole_cells: self.cell_retries }
     }
 
-    /// How many servers are ready, held or not.
-    pub(super) fn ready(&self) -> usize {
-        if self.held_rings.is_empty() {
+    /// The number of ready servers, held or not.
+    pub(super) fn ready_count(&self) -> usize {
+        if self.subset_rings.is_empty() {
             return self.ready_ring.len();
         }
-        self.held_rings.iter().map(|ring| ring.ready).sum()
+        self.subset_rings.iter().map(|ring| ring.ready).sum()
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,178 +1,188 @@
-//! What a node remembers of servers and requests: types and their plain arithmetic, no decisions.
+//! The state that a node remembers of servers, zones and requests: types and their arithmetic, no decisions.
 
 use crate::interface::*;
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Of those seen in a zone so few may answer, against those that are silent, before it is taken to be crowded.
-const FEW: f64 = 0.25;
+/// Time-outs of a zone's servers count as failures if fewer servers than this have answered for each one that
+/// timed out. With more answers the zone is overloaded rather than failed.
+const MIN_SERVED_PER_TIMEOUT: f64 = 0.25;
 
 /// What a node knows of a server.
 #[derive(Default)]
 pub struct Server {
     pub entry: ServerEntry,
-    /// Join-Up-To(m)'s estimate: own sends since it last showed idle.
-    pub count: u32,
+    /// Join-Up-To(m)'s queue estimate: own sends since its last idle report.
+    pub estimate: u32,
+    /// When it last reported idle.
     pub idle_at: Option<Duration>,
-    /// Own attempts that are out.
-    pub out: u32,
-    /// Its reported load with own sends since, and when that was reported.
+    /// Own attempts in flight.
+    pub in_flight: u32,
+    /// Its reported load plus own sends since, and when it was reported.
     pub load: Option<(f64, Duration)>,
+    /// A probe of it is in flight.
     pub probing: bool,
     /// Smoothed share of failed attempts.
-    pub failing: f64,
-    /// Ejected until then; after that, on trial until it serves.
-    pub ejected: Option<Duration>,
-    /// How often in a row, halved by an answer: each time it is ejected for longer.
+    pub failure_rate: f64,
+    /// Ejected until this time; after it, on trial until it serves a request.
+    pub ejected_until: Option<Duration>,
+    /// Ejections in a row, halved by an answer. Each one lasts longer than the one before.
     pub ejections: u32,
-    /// By class: the attempts that it turned away, failed or left without an answer since it last served
-    /// one, forgotten over the memory of rates; and whether it has served one of another class meanwhile.
-    pub missed: BTreeMap<usize, (Rate, bool)>,
-    /// While cold: until when it may be sent a request, and when that was last drawn for.
-    pub ticket: Duration,
-    pub drawn: Duration,
-    /// What was seen of it last, and when that was.
-    pub last: Option<(Sign, Duration)>,
+    /// By class: the attempts that it rejected, failed or did not answer since it last served one, as a
+    /// decayed rate, and whether it has served one of another class meanwhile.
+    pub misses: BTreeMap<usize, (DecayedRate, bool)>,
+    /// While cold: until when a permit lets it be sent one request.
+    pub permit_until: Duration,
+    /// While cold: when a permit was last drawn for.
+    pub drawn_at: Duration,
+    /// What its last attempt showed, and when.
+    pub last_seen: Option<(Observation, Duration)>,
 }
 
-/// What an attempt shows of its server.
+/// What one attempt showed of its server.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Sign {
+pub enum Observation {
     Served,
     Failed,
     /// No answer came in time.
-    Silent,
+    TimedOut,
 }
 
-/// What a node knows of a zone, where it goes by zones.
+/// What a node knows of a zone, where zones are configured.
 #[derive(Clone, Default)]
 pub struct Zone {
-    /// The share of own requests that goes there first.
+    /// The share of own requests that try this zone first.
     pub share: f64,
-    /// Its servers in service, and the part of those seen lately that failed last.
+    /// The number of its ready servers.
     pub ready: usize,
-    pub ill: f64,
-    /// Parts of their aims that its requests took, and how many there were, forgotten over the time of an overload.
-    pub cost: Rate,
-    pub seen: Rate,
-    /// What [`Balancer::taken`] is for all, for its servers alone: a zone that is crowded says nothing of another.
-    pub taken: f64,
-    pub standing: ZoneState,
+    /// The share of its recently observed servers whose last attempt failed.
+    pub unhealthy: f64,
+    /// The sum of the fractions of the latency target that its requests took. Decays over rule 4's overload
+    /// time.
+    pub latency_ratios: DecayedRate,
+    /// The number of these requests, with the same decay.
+    pub outcomes: DecayedRate,
+    /// [`Balancer::admission`] for its servers alone: the overload of a zone says nothing about another.
+    pub admission: f64,
+    pub state: ZoneState,
+    /// Since when it is in this state.
     pub since: Duration,
-    /// How many times as slowly it returns: doubled by each relapse.
-    pub caution: u32,
-    /// The staff want it empty until then.
-    pub evacuated: Option<Duration>,
+    /// Its failback takes this many times as long: doubled by each relapse.
+    pub backoff: u32,
+    /// Evacuated by operators until this time.
+    pub evacuated_until: Option<Duration>,
 }
 
 impl Zone {
-    /// The part of their aims that its requests take, if one was seen lately.
-    pub fn slow(&self, now: Duration, over: f64) -> Option<f64> {
-        let seen = self.seen.per_s(now, over) * over;
-        (seen > 0.1).then(|| self.cost.per_s(now, over) * over / seen)
+    /// The mean fraction of the latency target that its requests take, if there were any lately.
+    pub fn latency_ratio(&self, now: Duration, window_s: f64) -> Option<f64> {
+        let count = self.outcomes.per_s(now, window_s) * over;
+        (count > 0.1).then(|| self.latency_ratios.per_s(now, window_s) * window_s / count)
     }
 }
 
 impl Server {
-    /// An attempt begins to take up this server, if it does so already.
-    pub fn begin(&mut self, counts: bool) {
-        if counts {
-            self.out += 1;
+    /// An attempt was sent, or its body has come: it counts as load if the server can work on it.
+    pub fn attempt_started(&mut self, counted: bool) {
+        if counted {
+            self.in_flight += 1;
             self.load = self.load.map(|(load, at)| (load + 1.0, at));
         }
     }
 
-    /// An attempt has ended; one that was cut short has missed nothing. `over` is the memory of rates.
-    pub fn ended(
+    /// An attempt has ended. One that was cut short is no miss. Rates decay over `window_s`.
+    pub fn attempt_ended(
         &mut self,
         class: Option<usize>,
         outcome: Outcome,
         cut_short: bool,
         now: Duration,
-        over: f64,
+        window_s: f64,
     ) {
         match outcome {
             Outcome::Served => {
-                class.and_then(|class| self.missed.remove(&class));
-                self.missed.values_mut().for_each(|(_, serves)| *serves = true);
+                class.and_then(|class| self.misses.remove(&class));
+                self.misses.values_mut().for_each(|(_, serves)| *serves = true);
             }
             Outcome::TimedOut | Outcome::Cancelled if cut_short => {}
             Outcome::Rejected | Outcome::Error | Outcome::TimedOut | Outcome::Cancelled => {
-                let missed = class.map(|class| self.missed.entry(class).or_default());
-                missed.into_iter().for_each(|(missed, _)| missed.add(now, over, 1.0));
+                let misses = class.map(|class| self.misses.entry(class).or_default());
+                misses.into_iter().for_each(|(misses, _)| misses.add(now, window_s, 1.0));
             }
             _ => {}
         }
     }
 }
 
-/// Servers by id. Each keeps its place for as long as it is kept, so that the ring is walked without looking any up.
+/// Servers by id. A server keeps its slot for as long as it is known, so that the ring is walked without
+/// look-ups.
 #[derive(Default)]
 pub struct Servers {
-    places: BTreeMap<ServerId, usize>,
-    all: Vec<Server>,
-    free: Vec<usize>,
+    slot_of: BTreeMap<ServerId, usize>,
+    slots: Vec<Server>,
+    free_slots: Vec<usize>,
 }
 
 impl Servers {
     pub fn get(&self, id: &ServerId) -> Option<&Server> {
-        self.places.get(id).map(|place| &self.all[*place])
+        self.slot_of.get(id).map(|slot| &self.slots[*slot])
     }
     pub fn get_mut(&mut self, id: &ServerId) -> Option<&mut Server> {
-        self.places.get(id).map(|place| &mut self.all[*place])
+        self.slot_of.get(id).map(|slot| &mut self.slots[*slot])
     }
-    pub fn at(&self, place: usize) -> &Server {
-        &self.all[place]
+    pub fn at(&self, slot: usize) -> &Server {
+        &self.slots[slot]
     }
-    /// The place of a server, which is made if there is none.
-    pub fn place(&mut self, id: ServerId) -> usize {
-        *self.places.entry(id).or_insert_with(|| {
-            self.free.pop().unwrap_or_else(|| {
-                self.all.push(Server::default());
-                self.all.len() - 1
+    /// The slot of a server; a new one if it has none.
+    pub fn slot_for(&mut self, id: ServerId) -> usize {
+        *self.slot_of.entry(id).or_insert_with(|| {
+            self.free_slots.pop().unwrap_or_else(|| {
+                self.slots.push(Server::default());
+                self.slots.len() - 1
             })
         })
     }
-    /// Takes a server out of its place, which stays its own.
-    pub fn take(&mut self, place: usize) -> Server {
-        std::mem::take(&mut self.all[place])
+    /// Takes a server out of its slot, which stays reserved for it.
+    pub fn take(&mut self, slot: usize) -> Server {
+        std::mem::take(&mut self.slots[slot])
     }
-    pub fn put(&mut self, place: usize, server: Server) {
-        self.all[place] = server;
+    pub fn put(&mut self, slot: usize, server: Server) {
+        self.slots[slot] = server;
     }
     pub fn remove(&mut self, id: &ServerId) {
-        if let Some(place) = self.places.remove(id) {
-            self.all[place] = Server::default();
-            self.free.push(place);
+        if let Some(slot) = self.slot_of.remove(id) {
+            self.slots[slot] = Server::default();
+            self.free_slots.push(slot);
         }
     }
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Server> {
-        self.all.iter_mut()
+        self.slots.iter_mut()
     }
-    /// The ids of those that are gone.
-    pub fn gone(&self) -> Vec<ServerId> {
-        let gone = self.places.iter().filter(|(_, place)| self.all[**place].entry.state == ServerState::Gone);
+    /// The ids of the servers that are gone.
+    pub fn gone_ids(&self) -> Vec<ServerId> {
+        let gone =
+            self.slot_of.iter().filter(|(_, slot)| self.slots[**slot].entry.state == ServerState::Gone);
         gone.map(|(id, _)| *id).collect()
     }
 }
 
-/// Puts servers into a ring, or takes them out where a change has no place. Each stands by its number; of two changes to
-/// one the later counts. One walk round the ring for all changes together.
+/// Puts servers into a ring sorted by position, or takes them out where a change has no slot. Of two changes
+/// at one position the later counts. All changes together take one walk round the ring.
 pub fn merge_ring(ring: &mut Vec<(u64, usize)>, mut changes: Vec<(u64, Option<usize>)>) {
-    changes.sort_by_key(|(at, _)| *at); // stable: the last of those alike is the latest
+    changes.sort_by_key(|(at, _)| *at); // stable: the last of several at one position is the latest
     let mut merged = Vec::with_capacity(ring.len() + changes.len());
     let mut before = std::mem::take(ring).into_iter().peekable();
     let mut changes = changes.into_iter().peekable();
-    while let Some((at, place)) = changes.next() {
+    while let Some((at, slot)) = changes.next() {
         if changes.peek().is_some_and(|(next, _)| *next == at) {
             continue;
         }
-        while let Some(stays) = before.next_if(|(old, _)| *old < at) {
-            merged.push(stays);
+        while let Some(kept) = before.next_if(|(old, _)| *old < at) {
+            merged.push(kept);
         }
         before.next_if(|(old, _)| *old == at);
-        merged.extend(place.map(|place| (at, place)));
+        merged.extend(slot.map(|slot| (at, slot)));
     }
     merged.extend(before);
     *ring = merged;
@@ -180,11 +190,11 @@
 
 /// An attempt, and how it ended.
 pub struct Attempt {
-    pub to: ServerEntry,
+    pub server: ServerEntry,
     pub sent: Duration,
-    /// How crowded the server was at the send.
-    pub crowd: usize,
-    /// It counts among those out at its server: not while its request still arrives, nor once its answer has begun.
+    /// The load of the server when it was sent, in requests.
+    pub level: usize,
+    /// It counts as load of its server: not while its body still arrives, nor after its answer has started.
     pub counted: bool,
     pub outcome: Option<Outcome>,
 }
@@ -195,196 +205,208 @@
     }
 }
 
-/// A request that is owed an answer, or some of whose attempts are still out.
+/// A request that is owed an answer, or that has attempts in flight.
 #[derive(Default)]
 pub struct Request {
-    /// Where its class stands in the settings, if they still hold it.
+    /// The index of its class in the settings, if they still hold it.
     pub class: Option<usize>,
-    pub terms: RequestPolicy,
-    /// Its work in units of the usual request's.
-    pub weight: f64,
-    /// Its worth against that of the usual request.
+    pub policy: RequestPolicy,
+    /// Its work relative to the mean.
+    pub cost: f64,
+    /// Its value relative to the mean.
     pub value: f64,
-    /// Until then an answer is worth waiting for.
-    pub until: Duration,
+    /// An answer after this time has no value.
+    pub expires: Duration,
     pub attempts: Vec<Attempt>,
-    /// It has had its probes, or must do without.
-    pub probed: bool,
-    pub streaming: bool,
-    /// Its body can't be sent again; it still comes; its body has been used up.
-    pub long: bool,
-    pub arriving: Option<NewRequest>,
-    pub spent: bool,
+    /// It has had its probes, or must do without them.
+    pub probes_done: bool,
+    pub answer_started: bool,
+    /// Its body is streamed and not kept.
+    pub streamed_body: bool,
+    /// Its body still arrives.
+    pub receiving: Option<NewRequest>,
+    /// An attempt has used up its body, which can't be sent again.
+    pub body_consumed: bool,
+    /// It needs no answer any more.
     pub done: bool,
 }
 
 impl Request {
-    pub fn out(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.outcome.is_none()).count()
     }
 }
 
-/// How much of something there was lately, forgotten over a fixed time.
+/// An exponentially decayed rate, over a window in seconds.
 #[derive(Clone, Copy, Default)]
-pub struct Rate {
+pub struct DecayedRate {
     pub sum: f64,
-    pub at: Duration,
+    pub updated_at: Duration,
 }
 
-impl Rate {
-    pub fn add(&mut self, now: Duration, over: f64, amount: f64) {
-        *self = Rate { sum: self.per_s(now, over) * over + amount, at: now };
+impl DecayedRate {
+    pub fn add(&mut self, now: Duration, window_s: f64, amount: f64) {
+        *self = DecayedRate { sum: self.per_s(now, window_s) * over + amount, updated_at: now };
     }
-    pub fn per_s(&self, now: Duration, over: f64) -> f64 {
-        self.sum * (-(now - self.at).as_secs_f64() / over).exp() / over
+    pub fn per_s(&self, now: Duration, window_s: f64) -> f64 {
+        self.sum * (-(now - self.updated_at).as_secs_f64() / window_s).exp() / window_s
     }
 }
 
-/// Requests still to be had at a rate; a second's worth may be saved.
+/// A token bucket that holds at most the tokens of one second.
 #[derive(Clone, Copy, Default)]
-pub struct Allowance {
-    pub left: f64,
-    pub at: Duration,
+pub struct TokenBucket {
+    pub tokens: f64,
+    pub refilled_at: Duration,
 }
 
-impl Allowance {
-    /// Takes one if there is one.
+impl TokenBucket {
+    /// Takes a token if there is one. `rate` is in tokens per second.
     pub fn take(&mut self, now: Duration, rate: f64) -> bool {
-        self.left = (self.left + rate * (now - self.at).as_secs_f64()).min(rate.max(1.0));
-        self.at = now;
-        let some = self.left >= 1.0;
-        self.left -= if some { 1.0 } else { 0.0 };
-        some
+        self.tokens = (self.tokens + rate * (now - self.refilled_at).as_secs_f64()).min(rate.max(1.0));
+        self.refilled_at = now;
+        let available = self.tokens >= 1.0;
+        self.tokens -= if available { 1.0 } else { 0.0 };
+        available
     }
 }
 
-/// The decisions of one node. They are made in `src/policy/`; this is what it remembers.
+/// The decisions of one node. `src/policy/` makes them; this is the state behind them.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg32,
     pub(crate) now: Duration,
     pub(crate) servers: Servers,
-    /// The ready servers, in the order of their ring: where on it each stands, and its place.
+    /// The ready servers in the order of their ring: the position of each on it, and its slot in `servers`.
     pub(crate) ready_ring: Vec<(u64, usize)>,
-    /// The rings of which a part is held, one for each zone at most. Empty where all servers are held.
-    pub(crate) held_rings: Vec<SubsetRing>,
-    /// A class of the settings may be sent again within a cell alone.
-    pub(crate) keyed_in_cells: bool,
-    /// From then on no server that is listed is cold.
-    pub(crate) warm_at: Duration,
+    /// The rings of which a subset is held, one for each zone at most. Empty where all servers are held.
+    pub(crate) subset_rings: Vec<SubsetRing>,
+    /// Some class may be retried only within a cell.
+    pub(crate) cell_retries: bool,
+    /// From this time on no listed server is cold.
+    pub(crate) all_warm_at: Duration,
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    /// Requests held for probes, in the order of arrival.
-    pub(crate) held: Vec<RequestId>,
-    pub(crate) probes_out: u32,
-    /// Smoothed time of an answer, and hinted work of a request, in seconds.
-    pub(crate) answer_time: f64,
-    /// The median time of an answer, and of one to each class; zero until there is one.
+    /// Requests that wait for probes, in the order of arrival.
+    pub(crate) awaiting_probes: Vec<RequestId>,
+    pub(crate) probes_in_flight: u32,
+    /// The smoothed answer time.
+    pub(crate) answer_time_s: f64,
+    /// The median answer time.
     pub(crate) median: Duration,
-    pub(crate) medians: Vec<Duration>,
+    /// The median answer time of each class; zero until there is an answer.
+    pub(crate) class_medians: Vec<Duration>,
     /// Smoothed share of failed attempts at all servers.
-    pub(crate) failing: f64,
-    pub(crate) usual_cost: f64,
-    pub(crate) usual_worth: f64,
-    /// Own sends, and idle signs that reset an estimate, both forgotten slowly; share of reports not idle.
-    pub(crate) sends: f64,
-    pub(crate) idle_signs: f64,
-    pub(crate) busy: f64,
-    /// Smoothed share of attempts answered in time, by how crowded the server was at the send; and the share
-    /// of requests that servers not crowded at all are sent, steady at seven in eight in time; beyond 1 it is
-    /// a reserve for chance misses.
+    pub(crate) failure_rate: f64,
+    /// The smoothed expected work of a request in seconds, where known.
+    pub(crate) mean_cost: f64,
+    /// The smoothed value of a request.
+    pub(crate) mean_value: f64,
+    /// Own sends, with slow decay.
+    pub(crate) recent_sends: f64,
+    /// Idle reports that lowered a queue estimate, with the same decay.
+    pub(crate) recent_idle_reports: f64,
+    /// The smoothed share of load reports that were not idle.
+    pub(crate) busy_share: f64,
+    /// The smoothed share of attempts answered in time, by the load of the server when they were sent.
     pub(crate) in_time_by_load: Vec<f64>,
-    pub(crate) taken: f64,
+    /// Admission control: the share of requests that servers without load are sent. It is steady while seven
+    /// in eight are answered in time; what it has above 1 is a reserve against chance misses.
+    pub(crate) admission: f64,
     pub(crate) probe_tokens: f64,
     pub(crate) retry_tokens: f64,
-    /// Attempts that may yet be given up before their deadline.
-    pub(crate) give_up_tokens: f64,
-    /// Attempts sent, work that arrived, and work answered by warm servers.
-    pub(crate) sent: Rate,
-    pub(crate) arrived: Rate,
-    pub(crate) carried: Rate,
-    /// What each tenant may still ask for within its share, and when that was reckoned.
-    pub(crate) allowances: Vec<Allowance>,
+    /// The number of attempts that may time out before their deadline.
+    pub(crate) early_timeouts: f64,
+    /// Attempts sent.
+    pub(crate) sent_rate: DecayedRate,
+    /// Work that arrived, relative to that of the mean request.
+    pub(crate) arrived_work: DecayedRate,
+    /// Work that warm servers have answered.
+    pub(crate) warm_work: DecayedRate,
+    /// The rate limit of each tenant.
+    pub(crate) tenant_buckets: Vec<TokenBucket>,
     /// How long clients wait for a first try, by class.
-    pub(crate) patience: Vec<Duration>,
-    /// What the nodes know of one another, where they do.
-    pub(crate) tier: Option<FleetView>,
-    /// Where the list must be asked for: when to ask next, and the wait after a failed call.
-    pub(crate) ask_at: Option<Duration>,
-    pub(crate) ask_wait: Duration,
-    /// The zones by number, where the node goes by them, and when their shares were last reckoned.
+    pub(crate) first_try_patience: Vec<Duration>,
+    /// How many nodes there are, where the nodes know of one another.
+    pub(crate) fleet_view: Option<FleetView>,
+    /// Where the list must be asked for: when to ask next.
+    pub(crate) poll_at: Option<Duration>,
+    /// The wait after a failed call for the list.
+    pub(crate) poll_backoff: Duration,
+    /// The zones by number, where zones are configured.
     pub(crate) zones: BTreeMap<u8, Zone>,
-    pub(crate) zones_at: Duration,
+    /// When the states and shares of the zones were last updated.
+    pub(crate) zones_updated_at: Duration,
 }
 
-/// How long a server may be cold, and a little more for what sums of shares lose.
-pub(crate) fn margin(warm_after: Duration) -> Duration {
-    warm_after * 65 / 64
+/// How long a server may be cold, plus a little for the rounding errors of sums of shares.
+pub(crate) fn max_cold_time(warm_up_time: Duration) -> Duration {
+    warm_up_time * 65 / 64
 }
 
-/// Whether a class may be sent again within a cell alone.
-fn keyed_in_cells(settings: &Settings) -> bool {
+/// Whether some class may be retried only within a cell.
+fn cell_retries(settings: &Settings) -> bool {
     settings
         .classes
         .iter()
         .any(|class| matches!(class.retry_safety, RetrySafety::Keyed { scope: DedupScope::Cell, .. }))
 }
 
-/// Where each of `count` earlier places is now, by where each of the present ones was before.
-fn inverse(before: &[Option<usize>], count: usize) -> Vec<Option<usize>> {
-    let mut now_at = vec![None; count];
-    for (now, before) in before.iter().enumerate() {
-        if let Some(place) = before.and_then(|before| now_at.get_mut(before)) {
-            place.get_or_insert(now);
+/// The new index of each of `count` old entries, from the old index of each new entry.
+fn new_indices(old_indices: &[Option<usize>], count: usize) -> Vec<Option<usize>> {
+    let mut new_of = vec![None; count];
+    for (new, old) in old_indices.iter().enumerate() {
+        if let Some(entry) = old.and_then(|old| new_of.get_mut(old)) {
+            entry.get_or_insert(new);
         }
     }
-    now_at
+    new_of
 }
 
 impl Balancer {
-    /// Nothing known yet.
+    /// A node that knows nothing yet.
     pub(crate) fn empty(settings: Settings, rng: Pcg32) -> Self {
         Balancer {
             rng,
             now: Default::default(),
             servers: Default::default(),
             ready_ring: Default::default(),
-            held_rings: Default::default(),
-            keyed_in_cells: keyed_in_cells(&settings),
-            warm_at: Default::default(),
+            subset_rings: Default::default(),
+            cell_retries: cell_retries(&settings),
+            all_warm_at: Default::default(),
             requests: Default::default(),
-            held: Default::default(),
-            probes_out: Default::default(),
-            answer_time: Default::default(),
+            awaiting_probes: Default::default(),
+            probes_in_flight: Default::default(),
+            answer_time_s: Default::default(),
             median: Duration::ZERO,
-            medians: vec![Duration::ZERO; settings.classes.len()],
-            failing: Default::default(),
-            usual_cost: Default::default(),
-            usual_worth: settings.classes.iter().map(|c| c.value).sum::<f64>()
+            class_medians: vec![Duration::ZERO; settings.classes.len()],
+            failure_rate: Default::default(),
+            mean_cost: Default::default(),
+            mean_value: settings.classes.iter().map(|c| c.value).sum::<f64>()
                 / settings.classes.len().max(1) as f64,
-            sends: Default::default(),
-            idle_signs: Default::default(),
-            busy: Default::default(),
+            recent_sends: Default::default(),
+            recent_idle_reports: Default::default(),
+            busy_share: Default::default(),
             in_time_by_load: Default::default(),
-            taken: Default::default(),
+            admission: Default::default(),
             probe_tokens: Default::default(),
             retry_tokens: Default::default(),
-            give_up_tokens: Default::default(),
-            sent: Default::default(),
-            arrived: Default::default(),
-            carried: Default::default(),
-            allowances: vec![Allowance::default(); settings.tenants.len()],
-            patience: vec![Duration::ZERO; settings.classes.len()],
-            tier: None,
-            ask_at: Default::default(),
-            ask_wait: Default::default(),
+            early_timeouts: Default::default(),
+            sent_rate: Default::default(),
+            arrived_work: Default::default(),
+            warm_work: Default::default(),
+            tenant_buckets: vec![TokenBucket::default(); settings.tenants.len()],
+            first_try_patience: vec![Duration::ZERO; settings.classes.len()],
+            fleet_view: None,
+            poll_at: Default::default(),
+            poll_backoff: Default::default(),
             zones: Default::default(),
-            zones_at: Default::default(),
+            zones_updated_at: Default::default(),
             settings,
         }
     }
 
-    /// How far a zone is: the time to a server there and back, and steps of nearness: 0 for the node's own, 1 in its
-    /// region, 2 beyond. A zone that the settings don't name is beyond.
+    /// How far a zone is: in steps (0 for the node's own zone, 1 within its region, 2 beyond), and by the
+    /// round-trip time to a server there. A zone that the settings don't name is beyond the region.
     pub(crate) fn distance(&self, zone: u8) -> (f64, Duration) {
         let Some(zones) = &self.settings.zones else { return (0.0, Duration::ZERO) };
         let region = |zone: u8| zones.region.get(usize::from(zone));
@@ -398,100 +420,110 @@
         (step, zones.round_trip.get(usize::from(zone)).copied().unwrap_or_default())
     }
 
-    /// Nobody in a zone could have answered in time: that counts like a request that came too late.
-    pub(crate) fn zone_full(&mut self, zone: u8) {
-        let (now, over) = (self.now, self.settings.rules.overload_time.as_secs_f64());
+    /// No server of a zone admitted a request: that counts as an answer past the latency target.
+    pub(crate) fn record_zone_saturated(&mut self, zone: u8) {
+        let (now, window_s) = (self.now, self.settings.rules.overload_time.as_secs_f64());
         if let Some(zone) = self.zones.get_mut(&zone) {
-            zone.cost.add(now, over, 1.0);
-            zone.seen.add(now, over, 1.0);
+            zone.latency_ratios.add(now, window_s, 1.0);
+            zone.outcomes.add(now, window_s, 1.0);
         }
     }
 
-    /// The share of requests that a server's zone, or all, may be sent.
-    pub(crate) fn taken_at(&self, server: &Server) -> f64 {
-        self.zones.get(&server.entry.zone).map_or(self.taken, |zone| zone.taken)
+    /// The admission share of a server's zone, or of all servers where zones are not configured.
+    pub(crate) fn admission_at(&self, server: &Server) -> f64 {
+        self.zones.get(&server.entry.zone).map_or(self.admission, |zone| zone.admission)
     }
 
-    pub(crate) fn taken_mut(&mut self, server: ServerId) -> &mut f64 {
+    pub(crate) fn admission_mut(&mut self, server: ServerId) -> &mut f64 {
         if self.zones.is_empty() {
-            return &mut self.taken;
+            return &mut self.admission;
         }
         let zone = self.servers.get(&server).map(|server| server.entry.zone);
         let zone = zone.and_then(|zone| self.zones.get_mut(&zone));
-        zone.map_or(&mut self.taken, |zone| &mut zone.taken)
+        zone.map_or(&mut self.admission, |zone| &mut zone.admission)
     }
 
-    /// Which zones there are, how many servers each has, and how many of those seen lately failed. Silence is a failure
-    /// where hardly anybody in the zone answers: where some do, it is crowded.
-    pub(crate) fn look_at(&self, zones: &mut BTreeMap<u8, Zone>, window: Duration) {
-        zones.values_mut().for_each(|it| it.ready = 0);
-        let mut news = BTreeMap::<u8, [f64; 3]>::new();
-        for (_, place) in &self.ready_ring {
-            let server = self.servers.at(*place);
-            let new = || Zone { taken: self.taken, ..Zone::default() };
+    /// Counts the ready servers of each zone and the unhealthy share of those observed within `window`. A
+    /// time-out counts as a failure only where hardly any server of the zone answers: else the zone is
+    /// overloaded.
+    pub(crate) fn refresh_zone_stats(&self, zones: &mut BTreeMap<u8, Zone>, window: Duration) {
+        zones.values_mut().for_each(|zone| zone.ready = 0);
+        let mut counts = BTreeMap::<u8, [f64; 3]>::new();
+        for (_, slot) in &self.ready_ring {
+            let server = self.servers.at(*slot);
+            let new = || Zone { admission: self.admission, ..Zone::default() };
             zones.entry(server.entry.zone).or_insert_with(new).ready += 1;
-            if let Some((sign, _)) = server.last.filter(|(_, at)| self.now <= *at + window) {
-                news.entry(server.entry.zone).or_default()[sign as usize] += 1.0;
+            if let Some((observation, _)) = server.last_seen.filter(|(_, at)| self.now <= *at + window) {
+                counts.entry(server.entry.zone).or_default()[observation as usize] += 1.0;
             }
         }
-        for ring in &self.held_rings {
+        for ring in &self.subset_rings {
             let zone = ring.zone.and_then(|zone| zones.get_mut(&zone));
             zone.into_iter().for_each(|zone| zone.ready = ring.ready);
         }
-        for (zone, [served, failed, silent]) in news {
-            let Some(it) = zones.get_mut(&zone) else { continue };
-            let (bad, seen) =
-                (failed + if served < FEW * silent { silent } else { 0.0 }, served + failed + silent);
-            // One more that is sound: a single failure says little where few were seen, but for all of them.
-            it.ill = if seen >= it.ready as f64 { bad / seen } else { bad / (seen + 1.0) };
+        for (zone, [served, failed, timed_out]) in counts {
+            let Some(zone) = zones.get_mut(&zone) else { continue };
+            let (bad, seen) = (
+                failed + if served < MIN_SERVED_PER_TIMEOUT * timed_out { timed_out } else { 0.0 },
+                served + failed + timed_out,
+            );
+            // As if one more were healthy: a single failure says little where few, but not all, were
+            // observed.
+            zone.unhealthy = if seen >= zone.ready as f64 { bad / seen } else { bad / (seen + 1.0) };
         }
-        zones.retain(|_, it| it.ready > 0 || it.evacuated.is_some());
+        zones.retain(|_, zone| zone.ready > 0 || zone.evacuated_until.is_some());
     }
 
-    /// The zones as they are now, for the staff to see. Empty where the node does not go by them.
+    /// The zones as they are now, for the operators. Empty where zones are not configured.
     pub fn zones(&self) -> Vec<ZoneView> {
-        let over = self.settings.rules.overload_time.as_secs_f64();
-        let view = |(zone, it): (&u8, &Zone)| ZoneView {
-            zone: *zone,
-            share: it.share,
-            ready_servers: it.ready,
-            unhealthy_share: it.ill,
-            latency_ratio: it.slow(self.now, over),
-            state: it.standing,
-            since: it.since,
-            evacuated_until: it.evacuated,
+        let window_s = self.settings.rules.overload_time.as_secs_f64();
+        let view = |(id, zone): (&u8, &Zone)| ZoneView {
+            zone: *id,
+            share: zone.share,
+            ready_servers: zone.ready,
+            unhealthy_share: zone.unhealthy,
+            latency_ratio: zone.latency_ratio(self.now, window_s),
+            state: zone.state,
+            since: zone.since,
+            evacuated_until: zone.evacuated_until,
         };
         self.zones.iter().map(view).collect()
     }
 
-    /// Takes new settings. What is kept by class or tenant goes where that stands now, and with it if it is gone.
-    pub(crate) fn resettle(&mut self, new: Settings, classes: &[Option<usize>], tenants: &[Option<usize>]) {
-        let moved_to = inverse(classes, self.settings.classes.len());
-        let now_at = |old: usize| moved_to.get(old).copied().flatten();
-        for server in self.servers.values_mut().filter(|server| !server.missed.is_empty()) {
-            let old = std::mem::take(&mut server.missed).into_iter();
-            server.missed = old.filter_map(|(class, missed)| Some((now_at(class)?, missed))).collect();
+    /// Applies new settings. State of a class or tenant moves to its new index, and is dropped with it.
+    pub(crate) fn apply_settings(
+        &mut self,
+        new: Settings,
+        classes: &[Option<usize>],
+        tenants: &[Option<usize>],
+    ) {
+        let moved_to = new_indices(classes, self.settings.classes.len());
+        let new_index = |old: usize| moved_to.get(old).copied().flatten();
+        for server in self.servers.values_mut().filter(|server| !server.misses.is_empty()) {
+            let old = std::mem::take(&mut server.misses).into_iter();
+            server.misses = old.filter_map(|(class, misses)| Some((new_index(class)?, misses))).collect();
         }
         for request in self.requests.values_mut() {
-            request.class = request.class.and_then(now_at);
+            request.class = request.class.and_then(new_index);
         }
         let deadline = |settings: &Settings, class: usize| settings.classes.get(class).map(|c| c.deadline);
-        let patience = classes.iter().enumerate().map(|(now, before)| {
-            // Clients of a class with another deadline wait for another time.
-            let before = before.filter(|old| deadline(&self.settings, *old) == deadline(&new, now));
-            before.and_then(|old| self.patience.get(old)).copied().unwrap_or_default()
+        let patience = classes.iter().enumerate().map(|(index, old)| {
+            // With another deadline the clients of a class wait for another time.
+            let old = old.filter(|old| deadline(&self.settings, *old) == deadline(&new, index));
+            old.and_then(|old| self.first_try_patience.get(old)).copied().unwrap_or_default()
         });
-        self.patience = patience.collect();
-        let median = |old: &Option<usize>| old.and_then(|old| self.medians.get(old)).copied();
-        self.medians = classes.iter().map(|old| median(old).unwrap_or_default()).collect();
-        let allowance = |old: &Option<usize>| old.and_then(|old| self.allowances.get(old)).copied();
-        self.allowances = tenants.iter().map(|old| allowance(old).unwrap_or_default()).collect();
+        self.first_try_patience = patience.collect();
+        let median = |old: &Option<usize>| old.and_then(|old| self.class_medians.get(old)).copied();
+        self.class_medians = classes.iter().map(|old| median(old).unwrap_or_default()).collect();
+        let bucket = |old: &Option<usize>| old.and_then(|old| self.tenant_buckets.get(old)).copied();
+        self.tenant_buckets = tenants.iter().map(|old| bucket(old).unwrap_or_default()).collect();
         let started = self.servers.values_mut().filter_map(|server| server.entry.started);
-        self.warm_at = started.max().map(|at| at + margin(new.rules.warm_up_time)).unwrap_or_default();
+        self.all_warm_at =
+            started.max().map(|at| at + max_cold_time(new.rules.warm_up_time)).unwrap_or_default();
         if new.zones.is_none() {
             self.zones.clear();
         }
-        self.keyed_in_cells = keyed_in_cells(&new);
+        self.cell_retries = cell_retries(&new);
         self.settings = new;
     }
 }
