--- a/src/state.rs
+++ b/src/state.rs
@@ -77,7 +77,7 @@
 impl Zone {
     /// The mean fraction of the latency target that its requests take, if there were any lately.
     pub fn latency_ratio(&self, now: Duration, window_s: f64) -> Option<f64> {
-        let count = self.outcomes.per_s(now, window_s) * over;
+        let count = self.outcomes.per_s(now, window_s) * window_s;
         (count > 0.1).then(|| self.latency_ratios.per_s(now, window_s) * window_s / count)
     }
 }
@@ -246,7 +246,7 @@
 
 impl DecayedRate {
     pub fn add(&mut self, now: Duration, window_s: f64, amount: f64) {
-        *self = DecayedRate { sum: self.per_s(now, window_s) * over + amount, updated_at: now };
+        *self = DecayedRate { sum: self.per_s(now, window_s) * window_s + amount, updated_at: now };
     }
     pub fn per_s(&self, now: Duration, window_s: f64) -> f64 {
         self.sum * (-(now - self.updated_at).as_secs_f64() / window_s).exp() / window_s
