--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -28,10 +28,10 @@
                 break;
             }
         }
-        let (retry, nobody) = (!request.attempts.is_empty(), choice.is_none());
+        let (retry, no_choice) = (!request.attempts.is_empty(), choice.is_none());
         if self.now >= request.expires
             || request.body_consumed
-            || retry && (self.retry_tokens < 1.0 || nobody)
+            || retry && (self.retry_tokens < 1.0 || no_choice)
         {
             return self.refuse_or_fail(id, actions);
         }
@@ -105,7 +105,7 @@
             && left > silence * 5 / 4
             && self.retry_tokens >= if retry { 2.0 } else { 1.0 };
         let hedged = self.settings.limits.hedging;
-        // A server may go on with an abandoned attempt unnoticed. Where that is frequent, attempts may wait.
+        // A server may go on with an abandoned attempt unseen. Where that is frequent, attempts get all time.
         let ends_early = more && !hedged && self.early_timeouts >= 1.0;
         let timeout = if ends_early { silence } else { left };
         let timeout = if receiving { UPLOAD_TIMEOUT } else { timeout };
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -31,7 +31,7 @@
         let time_left = request.expires.saturating_sub(attempt.sent);
         request.body_consumed |= end.body_consumed;
         if request.receiving.is_some() {
-            // The wait for another server.
+            // While its body still arrives it may wait this long for another server.
             request.expires = self.now + request.policy.class.latency_target;
         }
         let tight = 4 * end.elapsed > if late_value > 0.0 { 5 } else { 3 } * target.min(time_left);
@@ -40,7 +40,7 @@
         if end.outcome == Outcome::Served && !tight {
             self.early_timeouts = (self.early_timeouts + EARLY_TIMEOUT_RATIO).min(MAX_EARLY_TIMEOUTS);
         }
-        let (finished, idle) = (end.finished || request.done, request.in_flight() == 0);
+        let (finished, none_in_flight) = (end.finished || request.done, request.in_flight() == 0);
         let (now, window_s, cut_short) = (self.now, self.rate_window(), 2 * end.elapsed < target);
         if let Some(s) = self.servers.get_mut(&end.server) {
             s.in_flight -= u32::from(counted).min(s.in_flight);
@@ -56,7 +56,7 @@
         }
         if finished {
             self.close(end.id, actions);
-        } else if idle {
+        } else if none_in_flight {
             self.dispatch(end.id, actions);
         }
     }
--- a/src/policy/zones.rs
+++ b/src/policy/zones.rs
@@ -8,11 +8,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// A nearer zone may take this much more of the latency target: more than equal zones differ by chance.
+/// A nearer zone may take this much more of the latency target before a farther one is preferred. It is more
+/// than equal zones differ by chance.
 const TOLERANCE: f64 = 1.0 / 8.0;
 /// Exponential rate at which a failed or evacuated zone loses its share: 95 % of it within two seconds.
 const DRAIN_PER_S: f64 = 1.5;
-/// Least share of all zones but the nearest, together: it shows how they do.
+/// Least share of all zones but the nearest, together: these requests show how the zones do.
 const MIN_SHARE: f64 = 1.0 / 64.0;
 /// Share of a failed zone, for trials: at ten requests a second it is one in three seconds.
 const TRIAL_SHARE: f64 = 1.0 / 32.0;
@@ -53,8 +54,9 @@
         zone.is_some() && self.share_of(zone) <= TRIAL_SHARE
     }
 
-    /// The zones in the order in which a request looks for a server: first the zone drawn by the shares, but
-    /// after those that can answer in time, and depending on whether an earlier attempt's zone is healthy.
+    /// The zones in the order in which a request looks for a server: the one drawn by the shares, then
+    /// healthy and near ones. Put last are zones that can't answer in time, failed ones if the request can't
+    /// be retried freely, and the zone of the last attempt if it looks unhealthy.
     fn zone_order(&self, request: &Request, draw: f64) -> Vec<u8> {
         let mut order: Vec<_> = self.zones.iter().filter(|(_, z)| z.ready > 0).collect();
         let (mut remaining, mut first) = (draw, None);
