--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -9,7 +9,7 @@
 /// Attempts timed out before the deadline, as a share of timely answers. They are limited because a server
 /// may go on with the abandoned work beside that of the next attempt.
 pub(super) const EARLY_TIMEOUT_RATIO: f64 = 1.0 / 64.0;
-/// The most early time-outs saved up: for a few servers that hang at once, until their failure rates tell.
+/// The most early time-outs saved up: for a few servers that hang at once, until their failure rates show it.
 pub(super) const MAX_EARLY_TIMEOUTS: f64 = 4.0;
 /// Weight of one observation in a smoothed value: the last handful of observations decide.
 pub(super) const SMOOTHING: f64 = 1.0 / 8.0;
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -90,27 +90,27 @@
         let now = self.now;
         let (Some(request), Some(server)) = (self.requests.get(&id), self.servers.get(&to)) else { return };
         let retry = !request.attempts.is_empty();
-        let room = (request.attempts.len() as u32) < request.policy.max_attempts.max(1);
-        let owed = !request.done && self.may_send(request) && now < request.expires && !request.body_consumed;
-        if !owed || !room || !self.permitted(server, request) {
+        let attempts_left = (request.attempts.len() as u32) < request.policy.max_attempts.max(1);
+        let open = !request.done && self.may_send(request) && now < request.expires && !request.body_consumed;
+        if !open || !attempts_left || !self.permitted(server, request) {
             return self.refuse_or_fail(id, actions);
         }
         // The server may stay silent: where there may be another attempt, time is left for it.
-        let (left, silence) = (request.expires - now, self.silence_timeout(request));
+        let (time_left, silent_after) = (request.expires - now, self.silence_timeout(request));
         let (receiving, streamed) = (request.receiving.is_some(), request.streamed_body);
         let last = request.attempts.len() as u32 + 1 >= request.policy.max_attempts;
-        let more = !last
+        let another = !last
             && request.policy.class.retry_safety != RetrySafety::NonIdempotent
             && !streamed
-            && left > silence * 5 / 4
+            && time_left > silent_after * 5 / 4
             && self.retry_tokens >= if retry { 2.0 } else { 1.0 };
         let hedged = self.settings.limits.hedging;
         // A server may go on with an abandoned attempt unseen. Where that is frequent, attempts get all time.
-        let ends_early = more && !hedged && self.early_timeouts >= 1.0;
-        let timeout = if ends_early { silence } else { left };
+        let ends_early = another && !hedged && self.early_timeouts >= 1.0;
+        let timeout = if ends_early { silent_after } else { time_left };
         let timeout = if receiving { UPLOAD_TIMEOUT } else { timeout };
-        if more && hedged {
-            actions.push(Action::SetTimer { after: silence, token: id.0 });
+        if another && hedged {
+            actions.push(Action::SetTimer { after: silent_after, token: id.0 });
         }
         let level = (self.load_of(server).round() as usize).min(LOAD_LEVELS - 1);
         let attempt = Attempt { server: server.entry, sent: now, level, counted: !receiving, outcome: None };
--- a/src/policy/fleet_view.rs
+++ b/src/policy/fleet_view.rs
@@ -4,7 +4,7 @@
 
 impl Balancer {
     /// The number of nodes among which shared budgets are divided. Nodes that don't agree on who is alive
-    /// count all that could be: then their parts never add up to more than the whole, whoever is right.
+    /// count all that could be: then their parts never add up to more than the whole, whichever is right.
     pub(super) fn node_count(&self) -> u32 {
         let configured = self.settings.nodes.max(1);
         match self.fleet_view {
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,4 +1,4 @@
-//! What outcomes of attempts tell: server health (outlier ejection) and load answered in time (admission).
+//! What outcomes of attempts show: server health (outlier ejection) and load answered in time (admission).
 
 use super::constants::{EARLY_TIMEOUT_RATIO, LOAD_LEVELS, MAX_EARLY_TIMEOUTS, SMOOTHING};
 use crate::interface::*;
@@ -23,7 +23,7 @@
             return;
         }
         let (level, cost, class, counted) = (attempt.level, request.cost, request.class, attempt.counted);
-        // An end long after the expiry tells of a pause of this node, not of the server.
+        // An end long after the expiry shows a pause of this node, not a fault of the server.
         let overrun_s = self.now.as_secs_f64() - request.expires.as_secs_f64();
         let overdue = (0.0..usual_s / 4.0).contains(&overrun_s) && end.elapsed.as_secs_f64() >= usual_s;
         // Tight: little time to spare, or well past the latency target where late answers have value.
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Takes a load report. Nothing in flight (or an empty queue, if only that is known) with an answer is
-    /// an idle report. It resets the queue estimate but for own attempts in flight, which may be newer.
+    /// Takes a load report. Nothing in flight (or an empty queue, if only that is known) with an answer is an
+    /// idle report. It resets the queue estimate but for own attempts in flight, which may be newer.
     pub(super) fn on_report(&mut self, id: ServerId, report: Option<LoadReport>, served: bool) {
         let (Some(report), Some(server)) = (report, self.servers.get_mut(&id)) else { return };
         let Some(load) = report.in_flight.or(report.queue).map(f64::from) else { return };
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -71,10 +71,10 @@
     }
 
     /// The queue estimate: own sends since the last idle report. Where reports come from probes, which are
-    /// cheap, and other nodes send too, a report lapses once they may have sent to the server.
+    /// cheap, and other nodes send too, a report expires once they may have sent to the server.
     pub(super) fn queue_estimate(&self, server: &Server, cap: u32) -> u32 {
-        let lapses = self.uses_probes() && self.node_count() > 1;
-        if lapses && !server.idle_at.is_some_and(|at| self.is_fresh(at)) { cap } else { server.estimate }
+        let expires = self.uses_probes() && self.node_count() > 1;
+        if expires && !server.idle_at.is_some_and(|at| self.is_fresh(at)) { cap } else { server.estimate }
     }
 
     /// The cap m of the paper's Theorem 6 for exponential job sizes, from own sends for each idle report (its
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -21,7 +21,7 @@
 
     /// Draws permits for cold servers; each lets one request through. What all nodes are answered by a warm
     /// server is less than its capacity, so a node's permits come at a multiple of its own answers from one.
-    /// They are drawn at random and lapse soon: hundreds of quiet nodes could spend saved permits in a burst.
+    /// They are drawn at random and expire soon: hundreds of quiet nodes could spend saved ones in a burst.
     pub(super) fn draw_cold_permits(&mut self) {
         let (rules, now) = (self.settings.rules, self.now);
         if now > self.all_warm_at {
