--- a/src/bin/sillward/backend_stream.rs
+++ b/src/bin/sillward/backend_stream.rs
@@ -1,8 +1,12 @@
-//! A connection to a backend as a stream that knows whether an answer is due on it. A backend may answer twice, the
-//! second time some milliseconds late; HTTP/1.1 has no word for whose answer that is. So bytes that come when none are
-//! due end the connection, a request is not written over them, and from then on that backend's connections rest before
-//! the next request.
-//! `docs/restarts.md` has the ways that were weighed.
+//! A TCP stream to a backend that detects unsolicited responses: bytes that arrive while no response is
+//! expected.
+//!
+//! A faulty backend may answer a request twice, the second time some milliseconds later. HTTP/1.1 does not
+//! say which request a response belongs to, so if the next request is already written, its client gets the
+//! stray response (response desynchronisation). Therefore unsolicited bytes end the connection, no request is
+//! written to a connection that has unread bytes, and from then on that backend's connections are quarantined
+//! for a while after each response before they are reused. `docs/restarts.md` has the alternatives that were
+//! considered.
 
 use hillpick::ServerId;
 use hillpick::control::log::log;
@@ -18,107 +22,123 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Connections of a backend that has written out of turn rest at least so long. A second answer comes some milliseconds
-/// after the first (the operators' exchange page); 20 ms is taken for that, and a quarter more for paths that don't take
-/// the same time twice.
-pub const REST: Duration = Duration::from_millis(25);
-/// No connection rests longer: whatever comes later than half of this is not told from one that is closed for idleness.
-pub const LONGEST_REST: Duration = Duration::from_secs(1);
+/// The shortest quarantine after a response. A second response comes some milliseconds after the first (the
+/// operators' exchange page): 20 ms covers that, and a quarter is added for variation in network delay.
+pub const MIN_QUARANTINE: Duration = Duration::from_millis(25);
+/// The longest quarantine after a response. Bytes that arrive more than half of this after a response can't
+/// be distinguished from those on a connection that is about to be closed for idleness.
+pub const MAX_QUARANTINE: Duration = Duration::from_secs(1);
 
-/// What is known of one backend's connections; all of them share it.
+/// How long the connections of one backend are quarantined after a response; all of them share it.
 pub struct Quarantine {
     server: ServerId,
-    /// Nothing until it has written what nobody had asked for.
-    rest: Cell<Duration>,
+    /// Zero until the backend has sent an unsolicited response.
+    duration: Cell<Duration>,
 }
 
 impl Quarantine {
+    /// No quarantine yet for this backend.
     pub fn new(server: ServerId) -> Rc<Self> {
-        Rc::new(Quarantine { server, rest: Cell::new(Duration::ZERO) })
+        Rc::new(Quarantine { server, duration: Cell::new(Duration::ZERO) })
     }
 
-    /// How long a connection rests after an answer.
-    pub fn rest(&self) -> Duration {
-        self.rest.get()
+    /// How long a connection may not be reused after a response.
+    pub fn duration(&self) -> Duration {
+        self.duration.get()
     }
 
-    /// Bytes came so long after the last answer: from now on connections rest for twice that, within bounds.
-    pub fn stray(&self, after: Duration) {
-        let first = self.rest.get().is_zero();
-        self.rest.set(self.rest.get().max((2 * after).clamp(REST, LONGEST_REST)));
+    /// Unsolicited bytes came this long after the last response: from now on connections are quarantined for
+    /// twice that, within [`MIN_QUARANTINE`] and [`MAX_QUARANTINE`]. The time never becomes shorter.
+    pub fn record_unsolicited(&self, delay: Duration) {
+        let first = self.duration.get().is_zero();
+        self.duration.set(self.duration.get().max((2 * delay).clamp(MIN_QUARANTINE, MAX_QUARANTINE)));
         if first {
-            log(format_args!("server {:x} sent what nobody had asked for, {after:.1?} late", self.server.0));
+            log(format_args!(
+                "server {:x} sent unsolicited bytes {delay:.1?} after its last response",
+                self.server.0
+            ));
         }
     }
 }
 
-/// Where a connection stands, for its stream and for the pool.
+/// The state of the exchange on a connection, shared by its stream and the pool.
 pub struct ExchangeState {
+    /// The quarantine of the connection's backend.
     pub quarantine: Rc<Quarantine>,
-    /// A request is to be written, or an answer is due.
-    asked: Cell<bool>,
-    /// Not a byte of that request has been written.
+    /// A request is to be written, or a response is expected.
+    in_exchange: Cell<bool>,
+    /// No byte of that request has been written.
     unwritten: Cell<bool>,
-    /// When the last answer had come, if there was one.
-    answered: Cell<Option<Instant>>,
+    /// When the last response was complete, if there was one.
+    last_response_at: Cell<Option<Instant>>,
 }
 
 impl ExchangeState {
+    /// The state of a new connection.
     pub fn new(quarantine: Rc<Quarantine>) -> Rc<Self> {
         Rc::new(ExchangeState {
             quarantine,
-            asked: Cell::new(false),
+            in_exchange: Cell::new(false),
             unwritten: Cell::new(true),
-            answered: Cell::new(None),
+            last_response_at: Cell::new(None),
         })
     }
 
-    /// A request is handed to it.
-    pub fn ask(&self) {
-        self.asked.set(true);
+    /// Begins an exchange: a request is handed to the connection.
+    pub fn begin(&self) {
+        self.in_exchange.set(true);
         self.unwritten.set(true);
     }
 
-    /// Its answer has come whole, or it was never handed over.
-    pub fn fall_idle(&self) {
-        if self.asked.replace(false) && !self.unwritten.get() {
-            self.answered.set(Some(Instant::now()));
+    /// Ends an exchange: the response is complete, or the request was never handed over.
+    pub fn end(&self) {
+        if self.in_exchange.replace(false) && !self.unwritten.get() {
+            self.last_response_at.set(Some(Instant::now()));
         }
     }
 
+    /// Whether no byte of the current request has been written.
     pub fn is_unwritten(&self) -> bool {
         self.unwritten.get()
     }
 
-    /// How long it has yet to rest.
-    pub fn rests(&self) -> Duration {
-        self.answered.get().map_or(Duration::ZERO, |at| self.quarantine.rest().saturating_sub(at.elapsed()))
+    /// How much longer the connection is quarantined.
+    pub fn quarantine_left(&self) -> Duration {
+        self.last_response_at
+            .get()
+            .map_or(Duration::ZERO, |at| self.quarantine.duration().saturating_sub(at.elapsed()))
     }
 
-    /// Whether bytes that come now are nobody's answer.
-    fn is_free(&self) -> bool {
-        !self.asked.get() || self.unwritten.get()
+    /// Whether bytes that arrive now are unsolicited.
+    fn expects_no_response(&self) -> bool {
+        !self.in_exchange.get() || self.unwritten.get()
     }
 
-    fn stray(&self) {
-        self.quarantine.stray(self.answered.get().map(|at| at.elapsed()).unwrap_or_default());
+    /// Unsolicited bytes have arrived on this connection.
+    fn record_unsolicited(&self) {
+        self.quarantine
+            .record_unsolicited(self.last_response_at.get().map(|at| at.elapsed()).unwrap_or_default());
     }
 }
 
+/// A connection to a backend that checks for unsolicited bytes when it is read and before a request is
+/// written.
 pub struct BackendStream {
     stream: TcpStream,
     exchange: Rc<ExchangeState>,
 }
 
 impl BackendStream {
+    /// Wraps a connection.
     pub fn new(stream: TcpStream, exchange: Rc<ExchangeState>) -> Self {
         BackendStream { stream, exchange }
     }
 
-    /// Before the first byte of a request: what has come may not have been noticed yet, since the runtime asks the kernel
-    /// only now and then. So it is asked here, at once. On a new connection as well: what a backend writes there before it
-    /// was asked anything would be read as the head of the first answer.
-    fn look(&self) -> io::Result<()> {
+    /// Called before the first byte of a request is written: fails if the kernel holds unread bytes or the
+    /// end of the connection. The runtime may not have noticed them yet, because it polls the kernel only now
+    /// and then. New connections are checked as well: what a backend writes before the first request would be
+    /// read as the head of the first response.
+    fn check_unread(&self) -> io::Result<()> {
         if !self.exchange.unwritten.get() {
             return Ok(());
         }
@@ -126,14 +146,15 @@
             Err(Errno::AGAIN) => Ok(()),
             Ok((0, _)) => Err(io::ErrorKind::ConnectionAborted.into()),
             Ok(_) => {
-                self.exchange.stray();
+                self.exchange.record_unsolicited();
                 Err(io::ErrorKind::InvalidData.into())
             }
             Err(e) => Err(e.into()),
         }
     }
 
-    fn written(&self, written: usize) -> Poll<io::Result<usize>> {
+    /// Notes that part of a request has been written.
+    fn record_written(&self, written: usize) -> Poll<io::Result<usize>> {
         if written > 0 {
             self.exchange.unwritten.set(false);
         }
@@ -149,8 +170,8 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buffer))?;
-        if buffer.filled().len() > before && self.exchange.is_free() {
-            self.exchange.stray();
+        if buffer.filled().len() > before && self.exchange.expects_no_response() {
+            self.exchange.record_unsolicited();
         }
         Poll::Ready(Ok(()))
     }
@@ -158,9 +179,9 @@
 
 impl AsyncWrite for BackendStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.look()?;
+        self.check_unread()?;
         let written = ready!(Pin::new(&mut self.stream).poll_write(cx, bytes))?;
-        self.written(written)
+        self.record_written(written)
     }
 
     fn poll_write_vectored(
@@ -168,9 +189,9 @@
         cx: &mut Context<'_>,
         pieces: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.look()?;
+        self.check_unread()?;
         let written = ready!(Pin::new(&mut self.stream).poll_write_vectored(cx, pieces))?;
-        self.written(written)
+        self.record_written(written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/bin/sillward/messages.rs
+++ b/src/bin/sillward/messages.rs
@@ -1,4 +1,5 @@
-//! What the rooms of the node tell one another: types alone, below all that use them.
+//! Messages between the node's tasks: the types that the client side, the backend side and the operations
+//! address exchange with the node's event loop. Types alone, so that every other module can depend on them.
 
 use crate::body::{AttemptBody, BodyChunk, Upload};
 use crate::liveness::Liveness;
@@ -16,95 +17,125 @@
 use std::time::Duration;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 
-/// What reaches the node.
+/// A message to the node's event loop.
 pub enum Message {
+    /// A client's request has been accepted.
     Request(Box<AcceptedRequest>),
-    /// The last byte of a long one has come.
+    /// The last byte of a streamed request body has been received.
     BodyReceived(RequestId),
-    Started(Started),
+    /// The first bytes of a streamed response have been received.
+    ResponseStarted(ResponseStart),
+    /// The client has disconnected before its final answer.
     ClientGone(RequestId),
-    Attempt(Ended),
-    Probe(ProbeEnded),
+    /// An attempt has ended.
+    AttemptEnded(AttemptResult),
+    /// A probe has ended.
+    ProbeEnded(ProbeResult),
+    /// The server list has changed.
     List(ListUpdate),
+    /// New settings apply from here on.
     Settings(Box<SettingsUpdate>),
-    /// What is known of the tier has changed.
+    /// What the node knows of the number of nodes has changed.
     FleetView(FleetView),
-    /// The staff ask how the zones stand, after an order if there is one.
+    /// An operator asks for the state of all zones, after a command has been carried out if there is one. The
+    /// reply is `None` where no zones are configured or the command names an unknown zone.
     ZoneQuery(Option<EvacuationCommand>, oneshot::Sender<Option<Vec<ZoneStatus>>>),
-    /// The staff ask how much of the list the node holds.
+    /// An operator asks how much of the server list the node holds. The reply is `None` without a subset.
     SubsetQuery(oneshot::Sender<Option<SubsetStatus>>),
-    /// The process is told to stop, and what has not come whole by now is not taken any more.
+    /// The process shuts down, and request bodies that are still incomplete are given up.
     BodyDeadline,
 }
 
-/// How much of the list a node holds, where it does not hold all of it.
+/// How much of the server list a node holds, where it holds a subset. `GET /subset` prints the fields by
+/// their names.
 #[derive(Serialize)]
 pub struct SubsetStatus {
-    /// Ready servers on the list.
+    /// Servers on the whole list that are in service.
     pub ready: usize,
-    /// Servers that are held, those that drain among them.
+    /// Servers that this node holds, draining ones included.
     pub held: usize,
-    /// By which place among how many nodes.
+    /// This node's position among the nodes, from 0.
     pub node: usize,
+    /// The number of nodes that divide the list among them.
     pub nodes: usize,
 }
 
-/// The staff want a zone of this name empty for so long, or not any more.
+/// An operator's command to evacuate a zone or to restore it.
 pub struct EvacuationCommand {
+    /// The zone's name.
     pub zone: String,
+    /// How long the evacuation lasts at most; `None` restores the zone.
     pub duration: Option<Duration>,
 }
 
-/// A zone by its name, as the module sees it, and for how long it has stood so.
+/// A zone's state, for the operators.
 pub struct ZoneStatus {
+    /// The zone's name.
     pub name: String,
+    /// The zone as the decision module sees it.
     pub view: ZoneView,
+    /// How long the zone has been in its present state.
     pub state_age: Duration,
-    /// So long it stays evacuated.
+    /// How long it stays evacuated, if an operator has evacuated it.
     pub evacuation_left: Option<Duration>,
 }
 
-/// A request that the front has taken.
+/// A request that the client side has accepted.
 pub struct AcceptedRequest {
+    /// The request, as the decision module is told of it.
     pub request: NewRequest,
-    /// When its last byte had come.
+    /// When it was received: whole, or as much of it as is buffered if the body is streamed.
     pub received_at: Duration,
+    /// What attempts send to backends.
     pub forward: ForwardedRequest,
+    /// Where the final answer goes.
     pub reply: oneshot::Sender<Answer>,
 }
 
-/// The first bytes of an answer that is too long to be kept; the rest follows in pieces.
-pub struct Started {
+/// The start of a response that is too long to be buffered; its body follows in chunks.
+pub struct ResponseStart {
+    /// The request.
     pub id: RequestId,
-    pub number: u32,
+    /// The attempt's number.
+    pub attempt: u32,
+    /// The body's length, where the response gives it.
     pub length: Option<u64>,
-    pub pieces: mpsc::Receiver<BodyChunk>,
+    /// The body.
+    pub chunks: mpsc::Receiver<BodyChunk>,
 }
 
-/// A final answer.
+/// The final answer to a client.
 #[derive(Debug)]
 pub enum Answer {
+    /// A buffered response body.
     Served(Bytes),
+    /// A streamed response body, with its length where that is known.
     Streamed(Option<u64>, mpsc::Receiver<BodyChunk>),
+    /// The request never ran and may be retried, after this time if there is one.
     Refused(Option<Duration>),
+    /// The request failed; it may have run.
     Failed,
+    /// The request got no answer before its deadline; it may have run.
     TimedOut,
 }
 
-/// A request's body.
+/// The body of a request that is forwarded.
 pub enum RequestBody {
+    /// The whole body, which every attempt can send.
     Buffered(Bytes),
-    /// Too long for that: whoever takes it reads it from the client. It may be given back unread.
+    /// A body too long to be buffered: the attempt that takes it reads it from the client, and may put it
+    /// back unread. The second field tells whether its last byte has been read.
     Streamed(RefCell<Option<Box<Upload>>>, Rc<Cell<bool>>),
 }
 
 impl RequestBody {
+    /// A body that is read from the client while it is sent.
     pub fn streamed(upload: Upload) -> Self {
         let read = upload.fully_read();
         RequestBody::Streamed(RefCell::new(Some(Box::new(upload))), read)
     }
 
-    /// For an attempt to write; `None` if it has been used up.
+    /// The body for an attempt to send; `None` if another attempt has taken a streamed one.
     pub fn take(&self) -> Option<AttemptBody> {
         match self {
             RequestBody::Buffered(body) => Some(AttemptBody::Buffered(Full::new(body.clone()))),
@@ -112,40 +143,44 @@
         }
     }
 
-    /// Not a byte of it was written.
+    /// Gives a body back of which no byte has been sent.
     pub fn put_back(&self, body: AttemptBody) {
         if let (RequestBody::Streamed(upload, _), AttemptBody::Streamed(body)) = (self, body) {
             *upload.borrow_mut() = Some(body);
         }
     }
 
-    /// An attempt has taken it, and it was not kept.
+    /// Whether an attempt has taken a streamed body, so that no other attempt can send it.
     pub fn is_consumed(&self) -> bool {
         matches!(self, RequestBody::Streamed(upload, _) if upload.borrow().is_none())
     }
 
-    /// Its last byte has not been passed on yet, and will not be if the attempt has ended.
+    /// Whether the last byte of a streamed body has not been forwarded yet. If the attempt has ended it never
+    /// will be.
     pub fn is_incomplete(&self) -> bool {
         matches!(self, RequestBody::Streamed(_, read) if !read.get())
     }
 }
 
-/// The client of a request, until that has its final answer. Whoever finds that it has left, its connection or an attempt,
-/// says so here: the node is told once, ahead of all that comes of it.
+/// Whether the client of a request is still connected, until the request has its final answer. Both the
+/// client's connection and an attempt may find that it has disconnected: the node is told once, before any
+/// result of that.
 #[derive(Default)]
 pub struct ClientPresence {
     id: RequestId,
     liveness: Liveness,
-    /// The place for that news in the node's queue, kept from the start.
-    place: Cell<Option<mpsc::OwnedPermit<Message>>>,
+    /// A slot for that message in the node's queue, reserved in advance because a drop can't wait for one.
+    /// Taken when it is used or no longer needed.
+    queue_slot: Cell<Option<mpsc::OwnedPermit<Message>>>,
 }
 
 impl ClientPresence {
-    pub fn new(id: RequestId, liveness: Liveness, place: mpsc::OwnedPermit<Message>) -> Self {
-        ClientPresence { id, liveness, place: Cell::new(Some(place)) }
+    /// The client of this request, with the queue slot for the message that it has disconnected.
+    pub fn new(id: RequestId, liveness: Liveness, queue_slot: mpsc::OwnedPermit<Message>) -> Self {
+        ClientPresence { id, liveness, queue_slot: Cell::new(Some(queue_slot)) }
     }
 
-    /// Asks the kernel.
+    /// Asks the kernel whether the client has disconnected, and tells the node if so.
     pub fn check_disconnected(&self) -> bool {
         let left = self.liveness.is_disconnected();
         if left {
@@ -154,71 +189,96 @@
         left
     }
 
+    /// Tells the node that the client has disconnected, unless it has been told or the request is finished.
     pub fn report_disconnected(&self) {
-        if let Some(place) = self.place.take() {
-            place.send(Message::ClientGone(self.id));
+        if let Some(queue_slot) = self.queue_slot.take() {
+            queue_slot.send(Message::ClientGone(self.id));
         }
     }
 
-    /// It has its final answer, and there is nothing more to tell. False if its leaving was told.
+    /// The request has its final answer: a disconnect is not reported any more. False if one was reported
+    /// before.
     pub fn finish(&self) -> bool {
-        self.place.take().is_some()
+        self.queue_slot.take().is_some()
     }
 }
 
-/// What all attempts of a request share: what goes on unchanged, and what binds them.
+/// What all attempts of a request share: the parts that are forwarded unchanged, and the limits on sending
+/// them.
 pub struct ForwardedRequest {
+    /// The request's method.
     pub method: Method,
+    /// The request's path and query.
     pub path: PathAndQuery,
+    /// The value of `X-Call-Id`.
     pub call_id: HeaderValue,
+    /// The value of `Idempotency-Key`.
     pub idempotency_key: Option<HeaderValue>,
+    /// The request's body.
     pub body: RequestBody,
-    /// The room that it takes, for as long as this lasts.
+    /// The share of the buffer memory that a buffered body holds until this is dropped.
     pub buffer_permit: Option<OwnedSemaphorePermit>,
-    /// How long the client waits once its request has come.
+    /// How long the client waits once its whole request has been received.
     pub budget: Duration,
-    /// When it stops waiting: late, while its request is still coming.
+    /// When the client stops waiting. Far in the future while its request body is still being received.
     pub deadline: Cell<Duration>,
-    /// How long backends remember a keyed request, from the first byte of the first attempt.
+    /// How long backends recognise repeats of a keyed request, from the first byte of the first attempt.
     pub dedup_window: Option<Duration>,
+    /// When the first byte of the first attempt was sent.
     pub first_byte_at: Cell<Option<Duration>>,
-    /// It has its final answer, or its client has left: nothing more is sent for it.
+    /// The request has its final answer or its client has disconnected: nothing more is sent for it.
     pub finished: Cell<bool>,
+    /// The client that waits for the answer.
     pub client: Rc<ClientPresence>,
 }
 
-/// An attempt to be made.
+/// An attempt that is to be sent to a server.
 pub struct Attempt {
+    /// The request.
     pub id: RequestId,
+    /// The attempt's number, in the order of sending, from 0.
     pub number: u32,
+    /// The server.
     pub server: ServerId,
     /// When the node stops waiting for it.
-    pub until: Duration,
+    pub deadline: Duration,
+    /// What is sent.
     pub forward: Rc<ForwardedRequest>,
 }
 
 /// Why an attempt is stopped.
-pub enum Stop {
+pub enum StopReason {
+    /// Its time is over.
     TimedOut,
+    /// The node needs it no more.
     Cancelled,
 }
 
-/// How an attempt ended; with the body if it was served.
-pub struct Ended {
+/// How an attempt ended.
+pub struct AttemptResult {
+    /// The request.
     pub id: RequestId,
-    pub number: u32,
+    /// The attempt's number.
+    pub attempt: u32,
+    /// How it ended.
     pub outcome: Outcome,
+    /// The server's load report, if one came with the response.
     pub report: Option<LoadReport>,
+    /// The response's body, if the request was served and the body was buffered.
     pub body: Option<Bytes>,
-    /// It has used up a body that is not kept.
-    pub spent: bool,
+    /// Whether it has consumed a streamed request body, so that no other attempt can send it.
+    pub body_consumed: bool,
 }
 
 /// How a probe ended.
-pub struct ProbeEnded {
+pub struct ProbeResult {
+    /// The server.
     pub server: ServerId,
+    /// How it ended.
     pub outcome: Outcome,
-    pub sent: Duration,
+    /// When it was sent.
+    pub sent_at: Duration,
+    /// The server's load report, if there was one.
     pub report: Option<LoadReport>,
 }
 
--- a/src/bin/sillward/node.rs
+++ b/src/bin/sillward/node.rs
@@ -1,10 +1,13 @@
-//! The node itself: the only owner of the [`Balancer`]. One loop takes events in and carries actions out;
-//! it decides nothing. Its request table alone gives final answers, and gives each exactly once.
+//! The node's event loop, which owns the [`Balancer`]. It turns messages into events for the decision module
+//! and carries out the actions that the module returns; it makes no decisions itself. Final answers are given
+//! by its request table alone, exactly one for each request.
+//!
+//! A `Backend` here is a server of the decision module together with its address.
 
 use crate::backend::ConnectionPool;
 use crate::messages::{
-    AcceptedRequest, Answer, Attempt, Ended, EvacuationCommand, ForwardedRequest, Message, ProbeEnded,
-    Started, Stop, SubsetStatus, ZoneStatus,
+    AcceptedRequest, Answer, Attempt, AttemptResult, EvacuationCommand, ForwardedRequest, Message,
+    ProbeResult, ResponseStart, StopReason, SubsetStatus, ZoneStatus,
 };
 use hillpick::control::clock::Clock;
 use hillpick::control::config::Config;
@@ -22,58 +25,67 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-struct Held {
+/// A request that has no final answer yet, or has attempts in flight.
+struct PendingRequest {
     forward: Rc<ForwardedRequest>,
-    /// The way to the client, until the final answer has gone there.
+    /// Where the final answer goes; `None` once it has been given.
     reply: Option<oneshot::Sender<Answer>>,
-    /// By the rules that it came under.
+    /// The most attempts, by the settings under which the request was accepted.
     max_attempts: usize,
-    /// In the order of Send; an attempt's number is its place.
-    attempts: Vec<Out>,
+    /// In the order of the `Send` actions; an attempt's number is its index.
+    attempts: Vec<PendingAttempt>,
 }
 
-struct Out {
+/// An attempt of a request.
+struct PendingAttempt {
     server: ServerId,
-    sent: Duration,
-    /// The way to stop it, until it has ended.
-    stop: Option<oneshot::Sender<Stop>>,
-    /// How long its answer took to start, where that is passed on as it comes: it has no time-out any more.
-    started: Option<Duration>,
+    /// When it was sent, or when the request's body was complete if that was later.
+    sent_at: Duration,
+    /// Stops the attempt; `None` once it has ended or was stopped.
+    stop: Option<oneshot::Sender<StopReason>>,
+    /// For a streamed response, the time until it started. From then on the attempt has no timeout.
+    time_to_start: Option<Duration>,
     ended: bool,
 }
 
-impl Held {
-    /// The one place where a final answer leaves. False if there has been one.
+impl PendingRequest {
+    /// Gives the final answer. Nothing else does; false if it has been given before.
     fn answer(&mut self, answer: Answer) -> bool {
         self.forward.finished.set(true);
-        // An error means that the client has just left: then no answer is owed.
+        // An error means that the client has just disconnected: then no answer is owed.
         self.reply.take().map(|reply| reply.send(answer)).is_some()
     }
 }
 
+/// What a timer is for.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Module(u64),
+enum Timer {
+    /// The decision module asked for it, with this token.
+    Balancer(u64),
+    /// The timeout of an attempt, by its number.
     Attempt(RequestId, u32),
+    /// The client's deadline.
     Deadline(RequestId),
 }
 
+/// The node: the decision module and all that it decides about.
 pub struct Node {
     clock: Clock,
     balancer: Balancer,
     pool: Rc<ConnectionPool>,
     messages: mpsc::Sender<Message>,
     discovery: mpsc::Sender<DiscoveryCommand>,
-    /// All of the list, where balancer and pool hold a subset of it.
-    roster: Option<ServerTable>,
-    /// The settings that the module goes by.
+    /// The whole server list, where the decision module and the pool hold a subset of it.
+    server_table: Option<ServerTable>,
+    /// The settings that the decision module was last given.
     site: Arc<SiteSettings>,
-    held: BTreeMap<RequestId, Held>,
-    timers: BinaryHeap<Reverse<(Duration, u64, Due)>>,
-    timers_set: u64,
+    requests: BTreeMap<RequestId, PendingRequest>,
+    timers: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
+    timer_sequence: u64,
 }
 
 impl Node {
+    /// A node whose server list is empty.
     pub fn new(
         clock: Clock,
         config: &Config,
@@ -88,125 +100,133 @@
             messages,
             discovery,
             site: config.site.clone(),
-            roster: config.subset.map(|servers| ServerTable::new(servers, balancer.ring_layout())),
+            server_table: config.subset.map(|servers| ServerTable::new(servers, balancer.ring_layout())),
             balancer,
-            held: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: BinaryHeap::new(),
-            timers_set: 0,
+            timer_sequence: 0,
         }
     }
 
+    /// Handles messages and timers until all senders are gone.
     pub async fn run(mut self, mut inbox: mpsc::Receiver<Message>) {
         loop {
-            let due = self.timers.peek().map(|Reverse((at, ..))| *at);
-            let wait = sleep_until(self.clock.instant(due.unwrap_or_default()));
+            let next_due = self.timers.peek().map(|Reverse((at, ..))| *at);
+            let wait = sleep_until(self.clock.instant(next_due.unwrap_or_default()));
             tokio::select! {
                 message = inbox.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                () = wait, if due.is_some() => {}
+                () = wait, if next_due.is_some() => {}
             }
-            self.fire();
+            self.fire_timers();
         }
     }
 
-    fn set(&mut self, at: Duration, due: Due) {
-        self.timers_set += 1; // those due together fire in the order of setting
-        self.timers.push(Reverse((at, self.timers_set, due)));
+    /// Sets a timer for this time on the node's clock.
+    fn set_timer(&mut self, at: Duration, timer: Timer) {
+        self.timer_sequence += 1; // timers due at the same time fire in the order in which they were set
+        self.timers.push(Reverse((at, self.timer_sequence, timer)));
     }
 
-    fn fire(&mut self) {
+    /// Carries out all timers that are due.
+    fn fire_timers(&mut self) {
         let now = self.clock.now();
         while self.timers.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
-            let Some(Reverse((_, _, due))) = self.timers.pop() else { return };
-            match due {
-                Due::Module(token) => self.decide(Event::Timer { token }),
-                Due::Attempt(id, number) => self.stop(id, number, Stop::TimedOut),
-                Due::Deadline(id) => self.overdue(id),
+            let Some(Reverse((_, _, timer))) = self.timers.pop() else { return };
+            match timer {
+                Timer::Balancer(token) => self.handle_event(Event::Timer { token }),
+                Timer::Attempt(id, number) => self.stop_attempt(id, number, StopReason::TimedOut),
+                Timer::Deadline(id) => self.on_deadline(id),
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
-            Message::Request(taken) => self.on_request(taken),
+            Message::Request(accepted) => self.on_request(accepted),
             Message::ClientGone(id) => {
-                let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else { return };
-                held.reply = None;
-                held.forward.finished.set(true);
-                self.decide(Event::ClientGone { id });
-                self.forget(id);
+                let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.reply.is_some())
+                else {
+                    return;
+                };
+                pending.reply = None;
+                pending.forward.finished.set(true);
+                self.handle_event(Event::ClientGone { id });
+                self.remove_finished(id);
             }
-            Message::BodyReceived(id) => self.on_arrived(id),
-            Message::Started(started) => self.on_started(started),
-            Message::Attempt(ended) => self.on_attempt(ended),
-            Message::Probe(ProbeEnded { server, outcome, sent, report }) => {
-                let elapsed = self.clock.now().saturating_sub(sent);
-                self.decide(Event::ProbeEnded(ProbeEnd { server, outcome, elapsed, report }));
+            Message::BodyReceived(id) => self.on_body_received(id),
+            Message::ResponseStarted(start) => self.on_response_started(start),
+            Message::AttemptEnded(result) => self.on_attempt_ended(result),
+            Message::ProbeEnded(ProbeResult { server, outcome, sent_at, report }) => {
+                let elapsed = self.clock.now().saturating_sub(sent_at);
+                self.handle_event(Event::ProbeEnded(ProbeEnd { server, outcome, elapsed, report }));
             }
-            Message::List(news) => self.on_list(news),
-            Message::FleetView(tier) => {
-                self.decide(Event::FleetView(tier));
-                self.move_subset();
+            Message::List(update) => self.on_list(update),
+            Message::FleetView(view) => {
+                self.handle_event(Event::FleetView(view));
+                self.update_layout();
             }
-            Message::ZoneQuery(order, reply) => {
-                let told = self.zones(order);
-                let _ = reply.send(told); // who asked may have gone
+            Message::ZoneQuery(command, reply) => {
+                let statuses = self.zone_statuses(command);
+                let _ = reply.send(statuses); // the caller may have gone
             }
             Message::SubsetQuery(reply) => {
-                let _ = reply.send(self.subset()); // who asked may have gone
+                let _ = reply.send(self.subset_status()); // the caller may have gone
             }
             Message::BodyDeadline => {
-                let arriving = self.held.iter().filter(|(_, held)| held.forward.body.is_incomplete());
-                let out = arriving.flat_map(|(id, held)| (0..held.attempts.len()).map(|i| (*id, i as u32)));
-                // The module hears that they were never sent whole, and can't be: it gives the answer.
-                out.collect::<Vec<_>>().into_iter().for_each(|(id, i)| self.stop(id, i, Stop::Cancelled));
+                let incomplete =
+                    self.requests.iter().filter(|(_, pending)| pending.forward.body.is_incomplete());
+                let attempts =
+                    incomplete.flat_map(|(id, pending)| (0..pending.attempts.len()).map(|i| (*id, i as u32)));
+                // The decision module is told that these attempts were not sent in full, and gives the
+                // answer.
+                attempts
+                    .collect::<Vec<_>>()
+                    .into_iter()
+                    .for_each(|(id, i)| self.stop_attempt(id, i, StopReason::Cancelled));
             }
-            Message::Settings(replacement) => {
-                let SettingsUpdate { site, settings, previous_classes: classes, previous_tenants: tenants } =
-                    *replacement;
+            Message::Settings(update) => {
+                let SettingsUpdate { site, settings, previous_classes, previous_tenants } = *update;
                 self.site = site;
-                self.decide(Event::Settings {
-                    settings,
-                    previous_classes: classes,
-                    previous_tenants: tenants,
-                });
-                self.move_subset();
+                self.handle_event(Event::Settings { settings, previous_classes, previous_tenants });
+                self.update_layout();
             }
         }
     }
 
-    fn on_list(&mut self, news: ListUpdate) {
-        match &mut self.roster {
-            Some(roster) => {
-                let told = roster.apply(news, self.balancer.ring_layout());
-                self.take_subset(told);
+    fn on_list(&mut self, update: ListUpdate) {
+        match &mut self.server_table {
+            Some(server_table) => {
+                let update = server_table.apply(update, self.balancer.ring_layout());
+                self.apply_subset(update);
             }
-            None => self.take_list(news),
+            None => self.apply_list(update),
         }
     }
 
-    /// The node's place among the others may have changed, and its part of the rings with it.
-    fn move_subset(&mut self) {
+    /// This node's position among the nodes may have changed, and with it the part of the rings that it
+    /// holds.
+    fn update_layout(&mut self) {
         let layout = self.balancer.ring_layout();
-        let moved = self.roster.as_mut().and_then(|roster| roster.set_layout(layout));
-        moved.into_iter().for_each(|told| self.take_subset(told));
+        let update = self.server_table.as_mut().and_then(|server_table| server_table.set_layout(layout));
+        update.into_iter().for_each(|update| self.apply_subset(update));
     }
 
-    fn take_subset(&mut self, told: SubsetUpdate) {
-        self.decide(Event::SubsetRings(told.rings));
-        self.take_list(told.update);
+    fn apply_subset(&mut self, update: SubsetUpdate) {
+        self.handle_event(Event::SubsetRings(update.rings));
+        self.apply_list(update.update);
     }
 
-    fn take_list(&mut self, update: ListUpdate) {
+    fn apply_list(&mut self, update: ListUpdate) {
         self.pool.update(update.kind, &update.backends, self.clock.now());
         let entries = update.backends.into_iter().map(|backend| backend.entry).collect();
-        self.decide(Event::List { kind: update.kind, entries });
+        self.handle_event(Event::List { kind: update.kind, entries });
     }
 
-    fn on_request(&mut self, taken: Box<AcceptedRequest>) {
-        let AcceptedRequest { mut request, received_at, forward, reply } = *taken;
+    fn on_request(&mut self, accepted: Box<AcceptedRequest>) {
+        let AcceptedRequest { mut request, received_at, forward, reply } = *accepted;
         let (id, deadline) = (request.id, forward.deadline.get());
         let waited = self.clock.now().saturating_sub(received_at);
         request.remaining = request.remaining.saturating_sub(waited);
@@ -216,152 +236,169 @@
         let max_attempts = request
             .policy
             .as_ref()
-            .map_or(self.site.settings.limits.max_attempts, |terms| terms.max_attempts);
-        let held = Held {
+            .map_or(self.site.settings.limits.max_attempts, |policy| policy.max_attempts);
+        let pending = PendingRequest {
             forward: Rc::new(forward),
             reply: Some(reply),
             max_attempts: max_attempts.max(1) as usize,
             attempts: Vec::new(),
         };
-        self.held.insert(id, held);
-        self.decide(Event::Request(request));
+        self.requests.insert(id, pending);
+        self.handle_event(Event::Request(request));
     }
 
-    /// A tick early: the answer is to be with the client before it gives up.
+    /// Sets the deadline timer one tick early, so that the answer reaches the client before it gives up.
     fn set_deadline(&mut self, id: RequestId, deadline: Duration) {
-        self.set(deadline.saturating_sub(self.site.settings.timer_resolution), Due::Deadline(id));
+        self.set_timer(deadline.saturating_sub(self.site.settings.timer_resolution), Timer::Deadline(id));
     }
 
-    fn on_arrived(&mut self, id: RequestId) {
+    fn on_body_received(&mut self, id: RequestId) {
         let now = self.clock.now();
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let deadline = now + held.forward.budget;
-        held.forward.deadline.set(deadline);
-        // How long a client took to send it says nothing of the backend.
-        held.attempts.iter_mut().for_each(|out| out.sent = now);
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let deadline = now + pending.forward.budget;
+        pending.forward.deadline.set(deadline);
+        // The time that the client took to send the body says nothing about the backend.
+        pending.attempts.iter_mut().for_each(|attempt| attempt.sent_at = now);
         self.set_deadline(id, deadline);
-        self.decide(Event::BodyReceived { id });
+        self.handle_event(Event::BodyReceived { id });
     }
 
-    /// The answer belongs to the client from its first bytes on. Where that has had another, nobody takes the pieces.
-    fn on_started(&mut self, started: Started) {
-        let Started { id, number, length, pieces } = started;
+    /// A response is the client's from its first bytes on. If the client already has another answer, the
+    /// chunks are dropped unread.
+    fn on_response_started(&mut self, start: ResponseStart) {
+        let ResponseStart { id, attempt: number, length, chunks } = start;
         let now = self.clock.now();
-        let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else { return };
-        let Some(out) = held.attempts.get_mut(number as usize) else { return };
-        out.started = Some(now.saturating_sub(out.sent));
-        let server = out.server;
-        held.answer(Answer::Streamed(length, pieces));
-        self.decide(Event::AnswerStarted { id, attempt: number, server });
+        let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.reply.is_some()) else {
+            return;
+        };
+        let Some(attempt) = pending.attempts.get_mut(number as usize) else { return };
+        attempt.time_to_start = Some(now.saturating_sub(attempt.sent_at));
+        let server = attempt.server;
+        pending.answer(Answer::Streamed(length, chunks));
+        self.handle_event(Event::AnswerStarted { id, attempt: number, server });
     }
 
-    fn on_attempt(&mut self, ended: Ended) {
-        let Some(held) = self.held.get_mut(&ended.id) else { return };
-        let Some(out) = held.attempts.get_mut(ended.number as usize) else { return };
-        (out.ended, out.stop) = (true, None);
-        let (server, sent, started) = (out.server, out.sent, out.started);
-        if started.is_some() && ended.outcome != Outcome::Served {
-            log(format_args!("a long answer of server {:x} broke off: {:?}", server.0, ended.outcome));
+    fn on_attempt_ended(&mut self, result: AttemptResult) {
+        let Some(pending) = self.requests.get_mut(&result.id) else { return };
+        let Some(attempt) = pending.attempts.get_mut(result.attempt as usize) else { return };
+        (attempt.ended, attempt.stop) = (true, None);
+        let (server, sent_at, time_to_start) = (attempt.server, attempt.sent_at, attempt.time_to_start);
+        if time_to_start.is_some() && result.outcome != Outcome::Served {
+            log(format_args!("streamed response of server {:x} was aborted: {:?}", server.0, result.outcome));
         }
-        // The first served answer is the client's; a later one only informs the module.
-        if let Some(body) = ended.body {
-            held.answer(Answer::Served(body));
+        // The first response that was served is the answer; a later one only informs the decision module.
+        if let Some(body) = result.body {
+            pending.answer(Answer::Served(body));
         }
-        let finished = held.reply.is_none();
-        self.decide(Event::AttemptEnded(AttemptEnd {
-            id: ended.id,
-            attempt: ended.number,
+        let finished = pending.reply.is_none();
+        self.handle_event(Event::AttemptEnded(AttemptEnd {
+            id: result.id,
+            attempt: result.attempt,
             server,
-            outcome: ended.outcome,
-            elapsed: started.unwrap_or_else(|| self.clock.now().saturating_sub(sent)),
+            outcome: result.outcome,
+            elapsed: time_to_start.unwrap_or_else(|| self.clock.now().saturating_sub(sent_at)),
             finished,
-            report: ended.report,
-            body_consumed: ended.spent,
+            report: result.report,
+            body_consumed: result.body_consumed,
         }));
-        self.forget(ended.id);
+        self.remove_finished(result.id);
     }
 
-    /// Whatever the module does, nobody is left without an answer at the deadline.
-    fn overdue(&mut self, id: RequestId) {
-        let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else { return };
-        log(format_args!("request {} was unanswered at its deadline: failed", id.0));
-        held.answer(Answer::TimedOut);
-        self.decide(Event::ClientGone { id });
-        self.forget(id);
+    /// Gives an answer at the deadline even if the decision module has given none.
+    fn on_deadline(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.reply.is_some()) else {
+            return;
+        };
+        log(format_args!("request {} had no answer at its deadline: timed out", id.0));
+        pending.answer(Answer::TimedOut);
+        self.handle_event(Event::ClientGone { id });
+        self.remove_finished(id);
     }
 
-    /// Drops a request that has its answer and no attempt out.
-    fn forget(&mut self, id: RequestId) {
-        let over = |held: &Held| held.reply.is_none() && held.attempts.iter().all(|out| out.ended);
-        if self.held.get(&id).is_some_and(over) {
-            self.held.remove(&id);
+    /// Removes a request that has its answer and no attempt in flight.
+    fn remove_finished(&mut self, id: RequestId) {
+        let is_finished = |pending: &PendingRequest| {
+            pending.reply.is_none() && pending.attempts.iter().all(|attempt| attempt.ended)
+        };
+        if self.requests.get(&id).is_some_and(is_finished) {
+            self.requests.remove(&id);
         }
     }
 
-    /// Lets the module decide, and carries out what it says.
-    fn decide(&mut self, event: Event) {
+    /// Gives an event to the decision module and carries out the actions that it returns.
+    fn handle_event(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
             self.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions {
-                if let Some(event) = self.act(action) {
+                if let Some(event) = self.execute(action) {
                     events.push_back(event);
                 }
             }
         }
     }
 
-    /// Carries out an action. An attempt that can't even start ends at once, with the event returned.
-    fn act(&mut self, action: Action) -> Option<Event> {
+    /// Carries out an action. An attempt that can't be started ends at once, with the event returned.
+    fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
-            Action::Send { id, server, timeout } => return self.send(id, server, timeout),
-            Action::Refuse { id, retry_after } => self.finish(id, Answer::Refused(retry_after)),
-            Action::Fail { id } => self.finish(id, Answer::Failed),
-            Action::Cancel { id, attempt } => self.stop(id, attempt, Stop::Cancelled),
-            Action::SetTimer { after, token } => self.set(self.clock.now() + after, Due::Module(token)),
-            Action::Probe { server } => self.probe(server),
+            Action::Send { id, server, timeout } => return self.start_attempt(id, server, timeout),
+            Action::Refuse { id, retry_after } => self.answer(id, Answer::Refused(retry_after)),
+            Action::Fail { id } => self.answer(id, Answer::Failed),
+            Action::Cancel { id, attempt } => self.stop_attempt(id, attempt, StopReason::Cancelled),
+            Action::SetTimer { after, token } => {
+                self.set_timer(self.clock.now() + after, Timer::Balancer(token))
+            }
+            Action::Probe { server } => self.start_probe(server),
             Action::CloseIdle { server } => self.pool.close_idle(server),
-            Action::Subscribe { on } => self.order(DiscoveryCommand::Subscribe(on)),
-            Action::FetchList => self.order(DiscoveryCommand::Fetch),
-            // No message between nodes: the module sends none, and the site allows none.
-            Action::SendToPeer { .. } => log("a message to another node was dropped"),
+            Action::Subscribe { on } => self.send_to_discovery(DiscoveryCommand::Subscribe(on)),
+            Action::FetchList => self.send_to_discovery(DiscoveryCommand::Fetch),
+            // The settings forbid messages between nodes, so the module sends none.
+            Action::SendToPeer { .. } => log("dropped a message to another node: not supported"),
             Action::Log { text } => log(text),
         }
         None
     }
 
-    /// How much of the list is held; `None` where all of it is.
-    fn subset(&self) -> Option<SubsetStatus> {
-        let (roster, layout) = (self.roster.as_ref()?, self.balancer.ring_layout());
+    /// How much of the server list this node holds; `None` if it holds all of it.
+    fn subset_status(&self) -> Option<SubsetStatus> {
+        let (server_table, layout) = (self.server_table.as_ref()?, self.balancer.ring_layout());
         let RingLayout { node, nodes, .. } = layout;
-        Some(SubsetStatus { ready: roster.ready_count(), held: roster.held_count(), node, nodes })
+        Some(SubsetStatus { ready: server_table.ready_count(), held: server_table.held_count(), node, nodes })
     }
 
-    /// How the zones stand, after an order of the staff's; `None` where the node does not go by zones.
-    fn zones(&mut self, order: Option<EvacuationCommand>) -> Option<Vec<ZoneStatus>> {
+    /// The state of all zones after an operator's command, if there is one; `None` if no zones are configured
+    /// or the command names an unknown zone.
+    fn zone_statuses(&mut self, command: Option<EvacuationCommand>) -> Option<Vec<ZoneStatus>> {
         self.site.settings.zones.as_ref()?;
-        if let Some(order) = order {
-            let zone = self.site.zone_names.iter().position(|name| *name == order.zone)?;
-            self.decide(Event::Evacuate { zone: u8::try_from(zone).ok()?, duration: order.duration });
+        if let Some(command) = command {
+            let zone = self.site.zone_names.iter().position(|name| *name == command.zone)?;
+            self.handle_event(Event::Evacuate { zone: u8::try_from(zone).ok()?, duration: command.duration });
         }
         let now = self.clock.now();
-        let named = self.balancer.zones().into_iter().map(|view| ZoneStatus {
+        let statuses = self.balancer.zones().into_iter().map(|view| ZoneStatus {
             name: self.site.zone_names.get(usize::from(view.zone)).cloned().unwrap_or_default(),
             state_age: now.saturating_sub(view.since),
             evacuation_left: view.evacuated_until.map(|until| until.saturating_sub(now)),
             view,
         });
-        Some(named.collect())
+        Some(statuses.collect())
     }
 
-    fn send(&mut self, id: RequestId, server: ServerId, timeout: Duration) -> Option<Event> {
+    /// Starts an attempt, or returns its end if it may not be made any more.
+    fn start_attempt(&mut self, id: RequestId, server: ServerId, timeout: Duration) -> Option<Event> {
         let now = self.clock.now();
-        let held = self.held.get_mut(&id)?;
-        let (number, finished) = (held.attempts.len() as u32, held.reply.is_none());
-        let deadline = held.forward.deadline.get();
-        if finished || now >= deadline || held.attempts.len() >= held.max_attempts {
-            held.attempts.push(Out { server, sent: now, stop: None, started: None, ended: true });
+        let pending = self.requests.get_mut(&id)?;
+        let (number, finished) = (pending.attempts.len() as u32, pending.reply.is_none());
+        let deadline = pending.forward.deadline.get();
+        if finished || now >= deadline || pending.attempts.len() >= pending.max_attempts {
+            pending.attempts.push(PendingAttempt {
+                server,
+                sent_at: now,
+                stop: None,
+                time_to_start: None,
+                ended: true,
+            });
             return Some(Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: number,
@@ -373,49 +410,63 @@
                 body_consumed: false,
             }));
         }
-        let until = if timeout.is_zero() { deadline } else { deadline.min(now + timeout) };
+        let attempt_deadline = if timeout.is_zero() { deadline } else { deadline.min(now + timeout) };
         let (stop, stopped) = oneshot::channel();
-        let attempt = Attempt { id, number, server, until, forward: held.forward.clone() };
-        held.attempts.push(Out { server, sent: now, stop: Some(stop), started: None, ended: false });
+        let attempt =
+            Attempt { id, number, server, deadline: attempt_deadline, forward: pending.forward.clone() };
+        pending.attempts.push(PendingAttempt {
+            server,
+            sent_at: now,
+            stop: Some(stop),
+            time_to_start: None,
+            ended: false,
+        });
         if !attempt.forward.body.is_incomplete() {
-            self.set(until, Due::Attempt(id, number)); // one that still comes is timed once it is there
+            // While the body is being received, the attempt has no timeout.
+            self.set_timer(attempt_deadline, Timer::Attempt(id, number));
         }
         let (pool, messages) = (self.pool.clone(), self.messages.clone());
-        let ended = pool.attempt(attempt, stopped, messages.clone());
+        let result = pool.attempt(attempt, stopped, messages.clone());
         spawn_local(async move {
-            let ended = ended.await;
-            let _ = messages.send(Message::Attempt(ended)).await; // fails only when the node has ended
+            let result = result.await;
+            // Fails only when the node has stopped.
+            let _ = messages.send(Message::AttemptEnded(result)).await;
         });
         None
     }
 
-    fn probe(&mut self, server: ServerId) {
-        let (sent, pool, messages) = (self.clock.now(), self.pool.clone(), self.messages.clone());
+    fn start_probe(&mut self, server: ServerId) {
+        let (sent_at, pool, messages) = (self.clock.now(), self.pool.clone(), self.messages.clone());
         spawn_local(async move {
             let (outcome, report) = pool.probe(server).await;
-            let _ = messages.send(Message::Probe(ProbeEnded { server, outcome, sent, report })).await;
+            let _ =
+                messages.send(Message::ProbeEnded(ProbeResult { server, outcome, sent_at, report })).await;
         });
     }
 
-    /// Any event may bring it, a timer or a probe among them: so it is forgotten here, not by the event.
-    fn finish(&mut self, id: RequestId, answer: Answer) {
-        if let Some(held) = self.held.get_mut(&id) {
-            held.answer(answer);
+    /// Gives the final answer, and removes the request if it has no attempt in flight. It is removed here
+    /// because any event may lead to an answer, also a timer or a probe result.
+    fn answer(&mut self, id: RequestId, answer: Answer) {
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.answer(answer);
         }
-        self.forget(id);
+        self.remove_finished(id);
     }
 
-    fn stop(&mut self, id: RequestId, number: u32, why: Stop) {
-        let out = self.held.get_mut(&id).and_then(|held| held.attempts.get_mut(number as usize));
-        let out = out.filter(|out| out.started.is_none()); // it belongs to the client now
-        if let Some(stop) = out.and_then(|out| out.stop.take()) {
-            let _ = stop.send(why); // it may have ended just now; then that outcome is on its way
+    /// Stops an attempt that has neither ended nor begun to stream its response.
+    fn stop_attempt(&mut self, id: RequestId, number: u32, reason: StopReason) {
+        let attempt =
+            self.requests.get_mut(&id).and_then(|pending| pending.attempts.get_mut(number as usize));
+        // Once the response has started it is the client's.
+        let attempt = attempt.filter(|attempt| attempt.time_to_start.is_none());
+        if let Some(stop) = attempt.and_then(|attempt| attempt.stop.take()) {
+            let _ = stop.send(reason); // fails if it has just ended; then its result is on its way
         }
     }
 
-    fn order(&mut self, order: DiscoveryCommand) {
-        if self.discovery.try_send(order).is_err() {
-            log("discovery has too much to do: a call was dropped");
+    fn send_to_discovery(&mut self, command: DiscoveryCommand) {
+        if self.discovery.try_send(command).is_err() {
+            log("discovery command queue is full: dropped a command");
         }
     }
 }
--- a/src/bin/sillward/node/tests.rs
+++ b/src/bin/sillward/node/tests.rs
@@ -1,4 +1,5 @@
-//! The node's table of requests, on a clock that the test moves, before listeners that play backends.
+//! Tests of the node's request table, on a paused clock that the tests advance, against listeners that act as
+//! backends.
 
 use super::*;
 use crate::body::{BodyChunk, MAX_BUFFERED_BYTES};
@@ -19,12 +20,12 @@
     "settings": {"Classes": [{"Name": "read", "Target": 400, "GiveUp": 1000, "Idempotency": "free"}],
     "Permissions": {"Cancel": true, "Probes": true}}}"#;
 
-/// A node whose list is empty, on a clock that the test moves.
+/// Runs a test with a node whose server list is empty, on a paused clock.
 fn with_node(test: impl AsyncFnOnce(Node)) {
     with_inbox(CONFIG, async |node, _inbox| test(node).await);
 }
 
-/// With what its attempts tell it, which the test takes to it.
+/// The same with the node's inbox: the test decides when the node handles a message.
 fn with_inbox(config: &str, test: impl AsyncFnOnce(Node, mpsc::Receiver<Message>)) {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().start_paused(true).build().expect("a runtime");
@@ -55,48 +56,54 @@
         client: Rc::default(),
     };
     let (reply, answer) = oneshot::channel();
-    node.take(Message::Request(Box::new(AcceptedRequest { request: new, received_at: at, forward, reply })));
+    node.handle_message(Message::Request(Box::new(AcceptedRequest {
+        request: new,
+        received_at: at,
+        forward,
+        reply,
+    })));
     answer
 }
 
 #[test]
-fn a_request_that_a_timer_refuses_is_forgotten() {
+fn a_request_that_a_timer_refuses_is_removed() {
     with_node(async |mut node| {
         let mut answer = request(&mut node, 1);
-        assert_eq!(node.held.len(), 1, "it waits for a backend to be listed");
+        assert_eq!(node.requests.len(), 1, "it is held until a backend is listed");
         for _ in 0..1000 {
             tokio::time::advance(node.site.settings.timer_resolution).await;
-            node.fire();
+            node.fire_timers();
         }
         assert!(matches!(answer.try_recv(), Ok(Answer::Refused(_))));
-        assert_eq!(node.held.len(), 0);
+        assert_eq!(node.requests.len(), 0);
     });
 }
 
-// ---- The start of an answer, and what would stop its attempt --------------------------------------
+// ---- Races between the start of a response and the end of its attempt -----------------------------
 
 const LENGTH: usize = 2 * MAX_BUFFERED_BYTES;
-/// Ends a test that waits in vain, on the machine's clock.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// How long a test waits for an event before it fails, on the machine's clock.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits without moving the clock: what loopback brings, it brings at the same moment.
-async fn until<T>(mut look: impl FnMut() -> Option<T>) -> T {
-    let end = std::time::Instant::now() + PATIENCE;
+/// Polls until there is a value, without advancing the paused clock.
+async fn wait_for<T>(mut poll: impl FnMut() -> Option<T>) -> T {
+    let end = std::time::Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Some(seen) = look() {
-            return seen;
+        if let Some(value) = poll() {
+            return value;
         }
         assert!(std::time::Instant::now() < end, "waited in vain");
         yield_now().await;
     }
 }
 
-async fn told(inbox: &mut mpsc::Receiver<Message>) -> Message {
-    until(|| inbox.try_recv().ok()).await
+/// The next message to the node.
+async fn next_message(inbox: &mut mpsc::Receiver<Message>) -> Message {
+    wait_for(|| inbox.try_recv().ok()).await
 }
 
-/// Puts so many listeners on the node's list.
-async fn list(node: &mut Node, count: u64) -> Vec<TcpListener> {
+/// Starts this many backends and puts them on the node's list.
+async fn list_backends(node: &mut Node, count: u64) -> Vec<TcpListener> {
     let (mut listeners, mut backends) = (Vec::new(), Vec::new());
     for id in 1..=count {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -104,24 +111,24 @@
         backends.push(Backend { entry, address: listener.local_addr().expect("its address") });
         listeners.push(listener);
     }
-    node.take(Message::List(ListUpdate { kind: ListKind::Full, backends }));
+    node.handle_message(Message::List(ListUpdate { kind: ListKind::Full, backends }));
     listeners
 }
 
-/// Waits for a request at any of them.
-async fn asked(listeners: &[TcpListener]) -> TcpStream {
-    let polled = async {
+/// Accepts the next connection at any of the backends and reads the head of a request.
+async fn accept_request(listeners: &[TcpListener]) -> TcpStream {
+    let accepted = async {
         let mut accepts: Vec<_> = listeners.iter().map(|listener| Box::pin(listener.accept())).collect();
         std::future::poll_fn(move |cx| {
             let mut ready = accepts.iter_mut().filter_map(|accept| match accept.as_mut().poll(cx) {
-                std::task::Poll::Ready(accepted) => Some(accepted.expect("a dial").0),
+                std::task::Poll::Ready(accepted) => Some(accepted.expect("a connection").0),
                 std::task::Poll::Pending => None,
             });
             ready.next().map_or(std::task::Poll::Pending, std::task::Poll::Ready)
         })
         .await
     };
-    let mut stream = held(polled).await;
+    let mut stream = held(accepted).await;
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(held(stream.read_u8()).await.expect("a request"));
@@ -129,58 +136,59 @@
     stream
 }
 
-/// Waits for this without letting the clock move.
+/// Waits for a future without letting the paused clock advance.
 async fn held<T>(future: impl Future<Output = T>) -> T {
     let mut future = std::pin::pin!(future);
-    let end = std::time::Instant::now() + PATIENCE;
+    let end = std::time::Instant::now() + TEST_TIMEOUT;
     std::future::poll_fn(|cx| {
         assert!(std::time::Instant::now() < end, "waited in vain");
-        cx.waker().wake_by_ref(); // the runtime is never idle, so its clock stands
+        cx.waker().wake_by_ref(); // the runtime is never idle, so its clock does not advance
         future.as_mut().poll(cx)
     })
     .await
 }
 
-async fn begin(stream: &mut TcpStream) {
+/// Sends the head and the first bytes of a response that is too long to be buffered.
+async fn start_response(stream: &mut TcpStream) {
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\nbegun");
     held(stream.write_all(head.as_bytes())).await.expect("the node reads");
 }
 
-/// Writes the rest while the pieces are taken: how many bytes there were, and whether nothing was missing.
-async fn whole(stream: &mut TcpStream, answer: &mut oneshot::Receiver<Answer>) -> bool {
-    let Ok(Answer::Streamed(Some(length), mut pieces)) = answer.try_recv() else { return false };
+/// Sends the rest of the response while its chunks are received. Whether the client got all of it.
+async fn finish_response(stream: &mut TcpStream, answer: &mut oneshot::Receiver<Answer>) -> bool {
+    let Ok(Answer::Streamed(Some(length), mut chunks)) = answer.try_recv() else { return false };
     let rest = vec![0; LENGTH - "begun".len()];
-    let taken = async {
-        let mut taken = 0;
-        while taken < length {
-            match pieces.recv().await {
-                Some(BodyChunk::Data(data)) => taken += data.len() as u64,
+    let receive = async {
+        let mut received = 0;
+        while received < length {
+            match chunks.recv().await {
+                Some(BodyChunk::Data(data)) => received += data.len() as u64,
                 Some(BodyChunk::End) | None => break,
             }
         }
-        taken
+        received
     };
-    let (_, taken) = held(async { tokio::join!(stream.write_all(&rest), taken) }).await;
-    (length, taken) == (LENGTH as u64, LENGTH as u64)
+    let (_, received) = held(async { tokio::join!(stream.write_all(&rest), receive) }).await;
+    (length, received) == (LENGTH as u64, LENGTH as u64)
 }
 
-/// What the timer of an attempt does.
+/// Stops the attempt as its timer does.
 fn time_out(node: &mut Node) {
-    node.stop(RequestId(1), 0, Stop::TimedOut);
+    node.stop_attempt(RequestId(1), 0, StopReason::TimedOut);
 }
 
-/// Lets whatever has been told to stop do so.
-async fn turns() {
+/// Lets tasks that were told to stop do so.
+async fn run_tasks() {
     for _ in 0..100 {
         yield_now().await;
     }
 }
 
-/// All that the node still hears; then it holds nothing.
-async fn forgets(node: &mut Node, inbox: &mut mpsc::Receiver<Message>) {
-    while !node.held.is_empty() {
-        let message = told(inbox).await;
-        node.take(message);
+/// Handles messages until the node has removed all requests; nothing may follow.
+async fn drain_messages(node: &mut Node, inbox: &mut mpsc::Receiver<Message>) {
+    while !node.requests.is_empty() {
+        let message = next_message(inbox).await;
+        node.handle_message(message);
     }
     assert!(matches!(inbox.try_recv(), Err(TryRecvError::Empty)));
 }
@@ -189,23 +197,23 @@
 fn an_answer_whose_start_is_on_its_way_when_its_time_ends_is_passed_on_whole() {
     for started_first in [false, true] {
         with_inbox(CONFIG, async |mut node, mut inbox| {
-            let listeners = list(&mut node, 1).await;
+            let listeners = list_backends(&mut node, 1).await;
             let mut answer = request(&mut node, 1);
-            let mut stream = asked(&listeners).await;
-            begin(&mut stream).await;
-            let started = told(&mut inbox).await;
-            assert!(matches!(started, Message::Started(_)));
+            let mut stream = accept_request(&listeners).await;
+            start_response(&mut stream).await;
+            let started = next_message(&mut inbox).await;
+            assert!(matches!(started, Message::ResponseStarted(_)));
             if started_first {
-                node.take(started);
+                node.handle_message(started);
                 time_out(&mut node);
-                turns().await;
+                run_tasks().await;
             } else {
                 time_out(&mut node);
-                turns().await;
-                node.take(started);
+                run_tasks().await;
+                node.handle_message(started);
             }
-            assert!(whole(&mut stream, &mut answer).await, "started first: {started_first}");
-            forgets(&mut node, &mut inbox).await;
+            assert!(finish_response(&mut stream, &mut answer).await, "started first: {started_first}");
+            drain_messages(&mut node, &mut inbox).await;
         });
     }
 }
@@ -213,51 +221,52 @@
 #[test]
 fn an_attempt_whose_time_ends_before_its_answer_starts_is_stopped() {
     with_inbox(CONFIG, async |mut node, mut inbox| {
-        let listeners = list(&mut node, 1).await;
+        let listeners = list_backends(&mut node, 1).await;
         let _answer = request(&mut node, 1);
-        let mut stream = asked(&listeners).await;
+        let mut stream = accept_request(&listeners).await;
         time_out(&mut node);
-        let ended = told(&mut inbox).await;
-        assert!(matches!(&ended, Message::Attempt(ended) if ended.outcome == Outcome::TimedOut));
+        let ended = next_message(&mut inbox).await;
+        assert!(matches!(&ended, Message::AttemptEnded(result) if result.outcome == Outcome::TimedOut));
         assert_eq!(held(stream.read(&mut [0])).await.unwrap_or(0), 0, "its connection is closed");
     });
 }
 
-/// The other ways to stop an attempt: the request's own end, and the end of the process's patience with long ones.
+/// The other events that stop an attempt: the client disconnects, its deadline passes, or the shutdown gives
+/// up request bodies that are incomplete.
 #[test]
 fn an_answer_that_starts_as_its_request_ends_costs_nothing_more() {
-    for way in ["the client leaves", "the deadline", "the last byte"] {
+    for way in ["client gone", "deadline", "body deadline"] {
         for started_first in [false, true] {
             with_inbox(CONFIG, async |mut node, mut inbox| {
-                let listeners = list(&mut node, 1).await;
+                let listeners = list_backends(&mut node, 1).await;
                 let mut answer = request(&mut node, 1);
-                let mut stream = asked(&listeners).await;
-                begin(&mut stream).await;
-                let mut started = Some(told(&mut inbox).await);
+                let mut stream = accept_request(&listeners).await;
+                start_response(&mut stream).await;
+                let mut started = Some(next_message(&mut inbox).await);
                 if started_first {
-                    node.take(started.take().expect("it came"));
+                    node.handle_message(started.take().expect("the start of a response"));
                 }
                 match way {
-                    "the client leaves" => node.take(Message::ClientGone(RequestId(1))),
-                    "the deadline" => {
+                    "client gone" => node.handle_message(Message::ClientGone(RequestId(1))),
+                    "deadline" => {
                         tokio::time::advance(Duration::from_secs(1)).await;
-                        node.overdue(RequestId(1));
+                        node.on_deadline(RequestId(1));
                     }
-                    _ => node.take(Message::BodyDeadline),
+                    _ => node.handle_message(Message::BodyDeadline),
                 }
-                turns().await;
+                run_tasks().await;
                 if let Some(started) = started {
-                    node.take(started);
+                    node.handle_message(started);
                 }
-                // Where it has no other answer it is the client's.
-                if started_first || way == "the last byte" {
-                    let served = whole(&mut stream, &mut answer).await;
+                // Unless the client has another answer, the response is the client's.
+                if started_first || way == "body deadline" {
+                    let served = finish_response(&mut stream, &mut answer).await;
                     assert!(served, "{way}, started first: {started_first}");
                 } else {
                     let other = answer.try_recv();
                     assert!(!matches!(other, Ok(Answer::Streamed(..))), "{way}: {other:?}");
                 }
-                forgets(&mut node, &mut inbox).await;
+                drain_messages(&mut node, &mut inbox).await;
             });
         }
     }
--- a/tests/races/lists.rs
+++ b/tests/races/lists.rs
@@ -151,7 +151,7 @@
                 shut_out.load(Ordering::SeqCst)
             );
         });
-        for none in ["cannot accept", "cannot dial", "no connection is left", "too much to do"] {
+        for none in ["cannot accept", "cannot dial", "connection limit reached", "command queue is full"] {
             assert!(!node.has_logged(none), "{none}");
         }
         wait_until(|| node.open_descriptors() < 40, "the crowd's descriptors to come back");
--- a/tests/unsolicited/mod.rs
+++ b/tests/unsolicited/mod.rs
@@ -46,7 +46,7 @@
         let mut late = late.recv_timeout(TEST_TIMEOUT).expect("the first connection");
         std::io::Write::write_all(&mut late, stray).expect("the node reads");
         assert_eq!(backend.next_closed(), 0, "{stray:?}");
-        node.wait_for_log("sent what nobody had asked for");
+        node.wait_for_log("sent unsolicited bytes");
         ask(&mut client);
         ask(&mut client);
         assert_ne!(backend.next_request().0, 0, "{stray:?}");
