--- a/src/bin/sillward/backend.rs
+++ b/src/bin/sillward/backend.rs
@@ -511,9 +511,7 @@
             stage.set(Stage::Written);
             connection.exchange.begin();
             match connection.sender.try_send_request(request).await {
-                Ok(response) => {
-                    return self.read_response(attempt, connection, response, (stage, messages)).await;
-                }
+                Ok(response) => return self.receive(attempt, connection, response, (stage, messages)).await,
                 // hyper returns the request: no byte of it was written, so another connection can take it.
                 Err(mut e) => match e.take_message() {
                     Some(request) => {
@@ -577,7 +575,7 @@
 
     /// Reads the response of an attempt. A response short enough to be buffered is read in full, so that a
     /// truncated one is an outcome of the attempt and the client never gets part of it.
-    async fn read_response(
+    async fn receive(
         self: &Rc<Self>,
         attempt: &Attempt,
         connection: Connection,
--- a/src/bin/sillward/node.rs
+++ b/src/bin/sillward/node.rs
@@ -61,7 +61,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     /// The decision module asked for it, with this token.
-    Balancer(u64),
+    Module(u64),
     /// The timeout of an attempt, by its number.
     Attempt(RequestId, u32),
     /// The client's deadline.
@@ -136,7 +136,7 @@
         while self.timers.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
             let Some(Reverse((_, _, timer))) = self.timers.pop() else { return };
             match timer {
-                Timer::Balancer(token) => self.handle_event(Event::Timer { token }),
+                Timer::Module(token) => self.handle_event(Event::Timer { token }),
                 Timer::Attempt(id, number) => self.stop_attempt(id, number, StopReason::TimedOut),
                 Timer::Deadline(id) => self.on_deadline(id),
             }
@@ -147,10 +147,7 @@
         match message {
             Message::Request(accepted) => self.on_request(accepted),
             Message::ClientGone(id) => {
-                let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.reply.is_some())
-                else {
-                    return;
-                };
+                let Some(pending) = self.requests.get_mut(&id).filter(|p| p.reply.is_some()) else { return };
                 pending.reply = None;
                 pending.forward.finished.set(true);
                 self.handle_event(Event::ClientGone { id });
@@ -268,9 +265,7 @@
     fn on_response_started(&mut self, start: ResponseStart) {
         let ResponseStart { id, attempt: number, length, chunks } = start;
         let now = self.clock.now();
-        let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.reply.is_some()) else {
-            return;
-        };
+        let Some(pending) = self.requests.get_mut(&id).filter(|p| p.reply.is_some()) else { return };
         let Some(attempt) = pending.attempts.get_mut(number as usize) else { return };
         attempt.time_to_start = Some(now.saturating_sub(attempt.sent_at));
         let server = attempt.server;
@@ -306,9 +301,7 @@
 
     /// Gives an answer at the deadline even if the decision module has given none.
     fn on_deadline(&mut self, id: RequestId) {
-        let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.reply.is_some()) else {
-            return;
-        };
+        let Some(pending) = self.requests.get_mut(&id).filter(|p| p.reply.is_some()) else { return };
         log(format_args!("request {} had no answer at its deadline: timed out", id.0));
         pending.answer(Answer::TimedOut);
         self.handle_event(Event::ClientGone { id });
@@ -317,9 +310,7 @@
 
     /// Removes a request that has its answer and no attempt in flight.
     fn remove_finished(&mut self, id: RequestId) {
-        let is_finished = |pending: &PendingRequest| {
-            pending.reply.is_none() && pending.attempts.iter().all(|attempt| attempt.ended)
-        };
+        let is_finished = |p: &PendingRequest| p.reply.is_none() && p.attempts.iter().all(|a| a.ended);
         if self.requests.get(&id).is_some_and(is_finished) {
             self.requests.remove(&id);
         }
@@ -347,7 +338,7 @@
             Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => self.stop_attempt(id, attempt, StopReason::Cancelled),
             Action::SetTimer { after, token } => {
-                self.set_timer(self.clock.now() + after, Timer::Balancer(token))
+                self.set_timer(self.clock.now() + after, Timer::Module(token))
             }
             Action::Probe { server } => self.start_probe(server),
             Action::CloseIdle { server } => self.pool.close_idle(server),
