--- a/src/bin/sillward/node.rs
+++ b/src/bin/sillward/node.rs
@@ -125,7 +125,7 @@
     }
 
     /// Sets a timer for this time on the node's clock.
-    fn set_timer(&mut self, at: Duration, timer: Timer) {
+    fn schedule(&mut self, at: Duration, timer: Timer) {
         self.timer_sequence += 1; // timers due at the same time fire in the order in which they were set
         self.timers.push(Reverse((at, self.timer_sequence, timer)));
     }
@@ -246,7 +246,7 @@
 
     /// Sets the deadline timer one tick early, so that the answer reaches the client before it gives up.
     fn set_deadline(&mut self, id: RequestId, deadline: Duration) {
-        self.set_timer(deadline.saturating_sub(self.site.settings.timer_resolution), Timer::Deadline(id));
+        self.schedule(deadline.saturating_sub(self.site.settings.timer_resolution), Timer::Deadline(id));
     }
 
     fn on_body_received(&mut self, id: RequestId) {
@@ -338,7 +338,7 @@
             Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => self.stop_attempt(id, attempt, StopReason::Cancelled),
             Action::SetTimer { after, token } => {
-                self.set_timer(self.clock.now() + after, Timer::Module(token))
+                self.schedule(self.clock.now() + after, Timer::Module(token))
             }
             Action::Probe { server } => self.start_probe(server),
             Action::CloseIdle { server } => self.pool.close_idle(server),
@@ -414,7 +414,7 @@
         });
         if !attempt.forward.body.is_incomplete() {
             // While the body is being received, the attempt has no timeout.
-            self.set_timer(attempt_deadline, Timer::Attempt(id, number));
+            self.schedule(attempt_deadline, Timer::Attempt(id, number));
         }
         let (pool, messages) = (self.pool.clone(), self.messages.clone());
         let result = pool.attempt(attempt, stopped, messages.clone());
