--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -76,9 +76,7 @@
 
 /// The action codes of each reply.
 fn replies(output: &[u8]) -> Vec<Vec<u8>> {
-    let word = |offset: usize| {
-        u32::from_be_bytes(output[offset..offset + 4].try_into().expect("four bytes")) as usize
-    };
+    let word = |i: usize| u32::from_be_bytes(output[i..i + 4].try_into().expect("four bytes")) as usize;
     let (mut offset, mut replies) = (0, Vec::new());
     while offset < output.len() {
         let (length, count) = (word(offset + 4), word(offset + 8));
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! A node under test, run as its users run it, and scripted peers round it: backends, discovery, clients.
-//! Everything waits for events; TEST_TIMEOUT only ends a test that has gone wrong.
+//! Test harness: runs a node as a process and provides scripted peers for it, that is backends, discovery and
+//! clients. Tests wait for events; `TEST_TIMEOUT` only ends a test that hangs.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -12,33 +12,37 @@
 use std::thread::spawn;
 use std::time::{Duration, Instant};
 
+/// How long a test waits for an event before it fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A message as a peer sees it.
+/// An HTTP message as a peer receives it.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its first line.
+    /// The request line or status line.
     pub start_line: String,
+    /// The headers, with names in lower case.
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// The status code of a response.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
     }
+    /// The value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 }
 
-/// Reads one message with a length or in chunks; `None` if the connection ends first.
+/// Reads one message with a `Content-Length` or a chunked body; `None` if the connection ends first.
 pub fn read_message(stream: &mut impl BufRead) -> Option<Message> {
     let mut line = || {
         let mut line = String::new();
         stream.read_line(&mut line).ok().filter(|n| *n > 0).map(|_| line.trim_end().to_owned())
     };
-    let start = line()?;
+    let start_line = line()?;
     let mut headers = BTreeMap::new();
     loop {
         let header = line()?;
@@ -59,7 +63,7 @@
             take(stream, length)?;
             let mut end = [0; 2];
             stream.read_exact(&mut end).ok()?;
-            assert_eq!(end, *b"\r\n", "the end of a chunk; no trailers are sent on");
+            assert_eq!(end, *b"\r\n", "the end of a chunk; trailers are not forwarded");
             if length == 0 {
                 break;
             }
@@ -67,59 +71,67 @@
     } else {
         take(stream, headers.get("content-length").map_or(0, |length| length.parse().expect("a length")))?;
     }
-    Some(Message { start_line: start, headers, body })
+    Some(Message { start_line, headers, body })
 }
 
 // ---- Backends -----------------------------------------------------------------------------------
 
 /// What a scripted backend does with a request.
 pub enum Reply {
-    /// A whole answer: status line after the version, headers, body.
+    /// A complete response: the status line after the version, headers, body.
     Answer(&'static str, &'static str, Vec<u8>),
-    /// These bytes, and then the connection ends.
+    /// Sends these bytes and closes the connection.
     Close(Vec<u8>),
-    /// Nothing, for as long as the node waits.
+    /// Sends nothing and keeps the connection open.
     Silence,
-    /// What it writes itself, over which it may take its time; the connection ends then.
+    /// Runs a function that writes to the connection, then closes it.
     Write(Box<dyn FnOnce(&mut TcpStream) + Send>),
 }
 
+/// A `200 OK` response with this body.
 pub fn ok(body: &str) -> Reply {
     Reply::Answer("200 OK", "", body.into())
 }
 
+/// What a backend has seen on a connection, by the connection's number.
 pub enum BackendEvent {
+    /// A request has been received.
     Request { connection: usize, message: Message },
+    /// The connection has ended.
     Closed { connection: usize },
 }
 
+/// A scripted backend.
 pub struct Backend {
     pub address: SocketAddr,
-    seen: Receiver<BackendEvent>,
+    events: Receiver<BackendEvent>,
+    /// How many requests it has received.
     pub requests: Arc<AtomicUsize>,
 }
 
 impl Backend {
+    /// Starts a backend that answers each request as the script says.
     pub fn start(script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
-        let (saw, seen) = channel();
+        let (sender, events) = channel();
         let requests = Arc::new(AtomicUsize::new(0));
         let (script, count) = (Arc::new(script), requests.clone());
         spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                let (stream, saw) = (stream.expect("a connection"), saw.clone());
+                let (stream, sender) = (stream.expect("a connection"), sender.clone());
                 let (script, count) = (script.clone(), count.clone());
-                spawn(move || serve(stream, connection, &saw, &count, &*script));
+                spawn(move || serve(stream, connection, &sender, &count, &*script));
             }
         });
-        Backend { address, seen, requests }
+        Backend { address, events, requests }
     }
 
+    /// Waits for the next event.
     pub fn next_event(&self) -> BackendEvent {
-        self.seen.recv_timeout(TEST_TIMEOUT).expect("something at the backend")
+        self.events.recv_timeout(TEST_TIMEOUT).expect("an event at the backend")
     }
-    /// The next request, and the number of its connection.
+    /// Waits for the next request; with the number of its connection.
     pub fn next_request(&self) -> (usize, Message) {
         loop {
             if let BackendEvent::Request { connection, message } = self.next_event() {
@@ -127,7 +139,7 @@
             }
         }
     }
-    /// The number of the connection that ends next.
+    /// Waits until a connection ends; returns its number.
     pub fn next_closed(&self) -> usize {
         loop {
             if let BackendEvent::Closed { connection } = self.next_event() {
@@ -135,19 +147,21 @@
             }
         }
     }
-    /// Whether a connection has ended; passes over what came before that.
+    /// Whether a connection has ended. Discards the events before that.
     pub fn has_closed(&self) -> bool {
-        self.seen.try_iter().any(|seen| matches!(seen, BackendEvent::Closed { .. }))
+        self.events.try_iter().any(|event| matches!(event, BackendEvent::Closed { .. }))
     }
+    /// How many requests it has received.
     pub fn request_count(&self) -> usize {
         self.requests.load(Ordering::SeqCst)
     }
 }
 
+/// Serves one connection of a backend.
 fn serve(
     stream: TcpStream,
     connection: usize,
-    saw: &Sender<BackendEvent>,
+    events: &Sender<BackendEvent>,
     count: &AtomicUsize,
     script: &impl Fn(&Message) -> Reply,
 ) {
@@ -155,7 +169,7 @@
     let mut writer = stream;
     while let Some(message) = read_message(&mut reader) {
         count.fetch_add(1, Ordering::SeqCst);
-        let _ = saw.send(BackendEvent::Request { connection, message: message.clone() });
+        let _ = events.send(BackendEvent::Request { connection, message: message.clone() });
         match script(&message) {
             Reply::Answer(status, headers, body) => {
                 let head = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
@@ -174,34 +188,41 @@
             }
         }
     }
-    let _ = saw.send(BackendEvent::Closed { connection });
+    let _ = events.send(BackendEvent::Closed { connection });
 }
 
 // ---- Discovery ----------------------------------------------------------------------------------
 
+/// A discovery agent that the test scripts.
 pub struct Discovery {
     pub address: SocketAddr,
     calls: Receiver<Watch>,
 }
 
-/// A call of the node's to discovery, answered by the test. Once it is open an empty line follows every half second, so
-/// that a slow machine's test does not fall silent, until it is to be `hushed`.
+/// A watch request of the node to discovery, answered by the test. Once it is open, a heartbeat (an empty
+/// line) is sent every half second, so that the node does not see a stalled watch while a slow machine runs
+/// the test.
 pub struct Watch {
+    /// The request line.
     pub start_line: String,
     stream: Arc<Mutex<TcpStream>>,
-    hushed: Arc<AtomicBool>,
+    /// No more heartbeats are sent.
+    heartbeat_stopped: Arc<AtomicBool>,
 }
 
-const BEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
 
+/// Writes one chunk of a chunked body.
 pub fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
 }
 
 impl Discovery {
+    /// Starts discovery on a port of its own.
     pub fn start() -> Self {
         Discovery::on(TcpListener::bind("127.0.0.1:0").expect("a port"))
     }
+    /// Starts discovery on this listener.
     pub fn on(listener: TcpListener) -> Self {
         let address = listener.local_addr().expect("its address");
         let (called, calls) = channel();
@@ -213,7 +234,7 @@
                 let watch = Watch {
                     start_line: message.start_line,
                     stream: Arc::new(Mutex::new(stream)),
-                    hushed: Arc::default(),
+                    heartbeat_stopped: Arc::default(),
                 };
                 if called.send(watch).is_err() {
                     return;
@@ -222,25 +243,26 @@
         });
         Discovery { address, calls }
     }
+    /// Waits for the next request of a node.
     pub fn next_call(&self) -> Watch {
         self.calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery")
     }
-    /// Tells a node its list, and waits until that shows. A call that the node gave up meanwhile, on a busy machine, it
-    /// makes again: that one is told the same.
+    /// Sends a line to a node and waits until `shows` holds. A node on a busy machine may give up its request
+    /// meanwhile and repeat it; the new one is sent the same line.
     pub fn send_list_until(&self, line: &str, shows: impl Fn() -> bool, what: &str) -> Watch {
         let mut watch = self.next_call();
-        let told = |watch: &Watch| {
+        let send = |watch: &Watch| {
             watch.try_with(|stream| {
                 stream.write_all(OPEN.as_bytes()).and_then(|()| write_chunk(stream, line))
             });
             watch.start_heartbeat();
         };
-        told(&watch);
+        send(&watch);
         wait_until(
             || {
-                if let Ok(again) = self.calls.try_recv() {
-                    watch = again;
-                    told(&watch);
+                if let Ok(repeated) = self.calls.try_recv() {
+                    watch = repeated;
+                    send(&watch);
                 }
                 shows()
             },
@@ -248,7 +270,7 @@
         );
         watch
     }
-    /// Answers every call with this line from now on, those that nobody waits for any more as well.
+    /// Answers all requests with this line from now on, including those that the node has given up.
     pub fn answer_all_calls(self, line: &str) {
         let line = line.to_owned();
         spawn(move || {
@@ -264,51 +286,56 @@
     }
 }
 
+/// The head of a watch's response.
 const OPEN: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 impl Watch {
+    /// Answers the request and starts the heartbeat.
     pub fn open(&mut self) {
         self.write(OPEN);
         self.start_heartbeat();
     }
+    /// Sends a line.
     pub fn send_line(&mut self, line: &str) {
         self.send_chunk(&format!("{line}\n"));
     }
-    /// Any piece of a line, or of several.
+    /// Sends a text as one chunk: a part of a line or several lines.
     pub fn send_chunk(&mut self, text: &str) {
-        assert!(self.try_with(|stream| write_chunk(stream, text)), "the node listens to discovery");
+        assert!(self.try_with(|stream| write_chunk(stream, text)), "the node reads from discovery");
     }
+    /// Sends raw bytes, outside a chunked body.
     pub fn write(&mut self, text: &str) {
-        let wrote = self.try_with(|stream| stream.write_all(text.as_bytes()));
-        assert!(wrote, "the node listens to discovery");
+        let written = self.try_with(|stream| stream.write_all(text.as_bytes()));
+        assert!(written, "the node reads from discovery");
     }
-    /// Nothing more comes by itself.
+    /// Stops the heartbeat, so that the watch stalls.
     pub fn stop_heartbeat(&self) {
-        let _stream = self.stream.lock().expect("the stream"); // nothing is on its way
-        self.hushed.store(true, Ordering::SeqCst);
+        let _stream = self.stream.lock().expect("the stream"); // no heartbeat is being written
+        self.heartbeat_stopped.store(true, Ordering::SeqCst);
     }
-    /// Ends the connection.
+    /// Closes the connection.
     pub fn close(&self) {
         self.try_with(|stream| stream.shutdown(Shutdown::Both));
     }
-    /// Resets it, if the test holds nothing else of it.
+    /// Resets the connection, if the test has no other handle to it.
     pub fn reset(self) {
         self.stop_heartbeat();
-        let lingers_not = Some(Duration::ZERO);
-        self.try_with(|stream| Ok(rustix::net::sockopt::set_socket_linger(stream, lingers_not)?));
+        let no_linger = Some(Duration::ZERO);
+        self.try_with(|stream| Ok(rustix::net::sockopt::set_socket_linger(stream, no_linger)?));
     }
+    /// Does something with the stream; false if it fails.
     pub fn try_with(&self, act: impl FnOnce(&mut TcpStream) -> std::io::Result<()>) -> bool {
         act(&mut self.stream.lock().expect("the stream")).is_ok()
     }
-    /// For as long as the test holds this.
+    /// Sends heartbeats for as long as the test holds this watch.
     pub fn start_heartbeat(&self) {
-        let (stream, hushed) = (Arc::downgrade(&self.stream), self.hushed.clone());
+        let (stream, stopped) = (Arc::downgrade(&self.stream), self.heartbeat_stopped.clone());
         spawn(move || {
             loop {
-                std::thread::sleep(BEAT);
+                std::thread::sleep(HEARTBEAT_PERIOD);
                 let Some(stream) = stream.upgrade() else { return };
                 let mut stream = stream.lock().expect("the stream");
-                if hushed.load(Ordering::SeqCst) || write_chunk(&mut stream, "\n").is_err() {
+                if stopped.load(Ordering::SeqCst) || write_chunk(&mut stream, "\n").is_err() {
                     return;
                 }
             }
@@ -316,23 +343,26 @@
     }
 }
 
+/// An entry of the server list.
 pub fn entry(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","type":"m","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
+/// A server list, or changes of it if it is no snapshot.
 pub fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
 }
 
 // ---- The node -----------------------------------------------------------------------------------
 
-/// Classes `read` (safe), `submit` (keyed) and `correct` (unsafe), all with the same times.
-pub fn settings(aim_ms: u64, permissions: &str) -> String {
+/// Settings with the classes `read` (idempotent), `submit` (keyed) and `correct` (not idempotent), all with
+/// the same latency target and deadline. `permissions` is appended to the permissions.
+pub fn settings(target_ms: u64, permissions: &str) -> String {
     let class = |name: &str, kind: &str| {
         format!(
-            r#"{{"Name":"{name}","Target":{aim_ms},"GiveUp":{aim_ms},"Idempotency":"{kind}","Group":"zone","Window":60000}}"#
+            r#"{{"Name":"{name}","Target":{target_ms},"GiveUp":{target_ms},"Idempotency":"{kind}","Group":"zone","Window":60000}}"#
         )
     };
     let classes =
@@ -346,29 +376,33 @@
     )
 }
 
+/// A node under test.
 pub struct Node {
     child: Child,
     config: PathBuf,
-    /// Where its processes meet: a directory of its own.
+    /// The directory of its upgrade socket and saved files, not shared with other nodes.
     pub tmp: PathBuf,
     pub address: SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
 }
 
+/// Numbers configuration files, directories and requests.
 static NUMBER: AtomicUsize = AtomicUsize::new(0);
 
-/// The node's command, with its configuration in a file. `shell` goes before it.
+/// The command that starts a node with this configuration, written to a file. `shell` is a shell prefix such
+/// as `ulimit -n 30; `.
 pub fn command(config: &str, shell: &str) -> Command {
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     let name = format!("config-{}-{number}.json", std::process::id());
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, config).expect("a place for the configuration");
+    std::fs::write(&path, config).expect("the configuration is written");
     let mut command = Command::new("/bin/sh");
     command.arg("-c").arg(format!("{shell}exec \"$0\"")).arg(env!("CARGO_BIN_EXE_sillward"));
     command.env("PROXY_CONFIG", &path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
     command
 }
 
+/// A configuration for a node that listens on a port of its own.
 pub fn config(discovery: SocketAddr, settings: &str, sockets: usize) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -377,20 +411,22 @@
     )
 }
 
-/// With an address for the operators' calls.
+/// The configuration with an operations address added.
 pub fn with_ops(config: &str) -> String {
     config.replacen('{', r#"{"ops":"127.0.0.1:0","#, 1)
 }
 
 impl Node {
+    /// Starts a node in a directory of its own and waits until it listens.
     pub fn start(config: &str, shell: &str) -> Self {
-        // A short name: that of a Unix socket has a narrow bound.
+        // A short name, because the path of a Unix socket is limited.
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
         let tmp = std::env::temp_dir().join(format!("sw-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&tmp).expect("a directory");
         Node::start_in(&tmp, config, shell)
     }
 
+    /// Starts a node in this directory and waits until it listens.
     pub fn start_in(tmp: &std::path::Path, config: &str, shell: &str) -> Self {
         let mut command = command(config, shell);
         command.env("TMPDIR", tmp);
@@ -408,20 +444,22 @@
             }
         };
         let log = Arc::new(Mutex::new(before));
-        let kept = log.clone();
-        spawn(move || lines.for_each(|line| kept.lock().expect("the log").push(line)));
+        let shared = log.clone();
+        spawn(move || lines.for_each(|line| shared.lock().expect("the log").push(line)));
         Node { child, config, tmp: tmp.to_owned(), address, log }
     }
 
+    /// A new client connection.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
 
+    /// Whether its readiness check succeeds.
     pub fn is_ready(&self) -> bool {
         self.client().request("GET /health/ready", "", b"").status() == 200
     }
 
-    /// Waits until the log holds such a line, and returns it.
+    /// Waits until the log has a line that contains this text, and returns the line.
     pub fn wait_for_log(&self, text: &str) -> String {
         let mut found = None;
         let mut find = || {
@@ -432,75 +470,79 @@
         found.expect("just found")
     }
 
-    /// Where it takes the operators' calls.
+    /// Its operations address.
     pub fn ops_address(&self) -> SocketAddr {
         let line = self.wait_for_log("takes the operators' calls on");
         line.rsplit(' ').next().and_then(|address| address.parse().ok()).expect("an address")
     }
 
-    /// Makes a call of the operators': the status it is answered with.
-    pub fn ops_call(&self, start: &str) -> u16 {
-        Client::connect(self.ops_address()).request(start, "", b"").status()
+    /// Makes a request to the operations address and returns the status.
+    pub fn ops_call(&self, start_line: &str) -> u16 {
+        Client::connect(self.ops_address()).request(start_line, "", b"").status()
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Where it looks for its configuration.
+    /// The path of its configuration file.
     pub fn config(&self) -> &std::path::Path {
         &self.config
     }
 
-    /// Replaces the configuration and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
-        std::fs::write(&self.config, config).expect("a place for the configuration");
+        std::fs::write(&self.config, config).expect("the configuration is written");
         self.signal("-HUP");
     }
 
-    /// It gets no turn, until it does again.
-    pub fn set_stopped(&self, still: bool) {
-        self.signal(if still { "-STOP" } else { "-CONT" });
+    /// Stops the process or lets it continue, without waiting for either.
+    pub fn set_stopped(&self, stopped: bool) {
+        self.signal(if stopped { "-STOP" } else { "-CONT" });
     }
 
+    /// Sends a signal.
     pub fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().expect("kill runs").success());
     }
 
-    /// Stops it as a machine does that gives it no turn, until it is to go on.
+    /// Stops the process and waits until it has stopped.
     pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         let stopped = || std::fs::read_to_string(&stat).is_ok_and(|stat| stat.contains(") T "));
         wait_until(stopped, "the node to stop");
     }
+    /// Lets a stopped process continue.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Whether the log holds such a line by now.
+    /// Whether the log has a line that contains this text.
     pub fn has_logged(&self, text: &str) -> bool {
         self.log.lock().expect("the log").iter().any(|line| line.contains(text))
     }
 
-    /// How many descriptors it has open.
+    /// The number of its open file descriptors.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("its descriptors").count()
     }
 
-    /// What the system tells of it, under `/proc`.
+    /// A file of the process under `/proc`.
     pub fn proc_file(&self, name: &str) -> String {
         std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).expect("its state")
     }
 
-    /// The most memory that it has had, in bytes.
+    /// Its peak resident memory in bytes.
     pub fn peak_memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its state");
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its memory");
         line.trim().trim_end_matches(" kB").parse::<usize>().expect("a number") * 1024
     }
 
+    /// Waits until the process has ended.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_until(
@@ -508,7 +550,7 @@
                 status = self.child.try_wait().expect("its state");
                 status.is_some()
             },
-            "the node's end",
+            "the node to exit",
         );
         status.expect("just seen")
     }
@@ -522,10 +564,10 @@
     }
 }
 
-/// Waits until the kernel has delivered the ends of the connections from these ports to an address: on a busy machine they
-/// may lag behind the call that sent them.
+/// Waits until the kernel has delivered the close of the connections from these local ports to this address:
+/// on a busy machine it may lag behind the system call.
 pub fn wait_for_closes(ports: &[u16], to: SocketAddr) {
-    const UNTOLD: [&str; 2] = ["01", "04"]; // established, or an end that is not acknowledged
+    const NOT_DELIVERED: [&str; 2] = ["01", "04"]; // ESTABLISHED, FIN_WAIT1
     wait_until(
         || {
             let table = std::fs::read_to_string("/proc/net/tcp").expect("the connections");
@@ -535,30 +577,31 @@
                     let port = fields.next().and_then(|address| address.rsplit(':').next());
                     port.and_then(|port| u16::from_str_radix(port, 16).ok())
                 };
-                // Others may have connections from the same ports, to elsewhere.
+                // The same local port may have connections to other addresses.
                 port().is_some_and(|port| ports.contains(&port))
                     && port() == Some(to.port())
-                    && fields.next().is_some_and(|state| UNTOLD.contains(&state))
+                    && fields.next().is_some_and(|state| NOT_DELIVERED.contains(&state))
             })
         },
-        "the ends of connections",
+        "closes to be delivered",
     );
 }
 
-/// For what sends no event: looks again and again.
+/// Polls until a condition holds, for changes that send no event.
 pub fn wait_until(mut holds: impl FnMut() -> bool, what: &str) {
-    let end = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A node whose list holds these backends, and the watch that told it.
+/// Starts a node whose server list holds these backends. Returns it with its watch and discovery.
 pub fn serving_node(settings: &str, backends: &[&Backend]) -> (Node, Watch, Discovery) {
     serving_node_with(settings, backends, 1024, "")
 }
 
+/// The same with a limit of sockets and a shell prefix.
 pub fn serving_node_with(
     settings: &str,
     backends: &[&Backend],
@@ -576,83 +619,95 @@
 
 // ---- Clients ------------------------------------------------------------------------------------
 
+/// A client connection.
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
+    /// Connects to an address.
     pub fn connect(address: SocketAddr) -> Self {
         Client::from_stream(TcpStream::connect(address).expect("the node accepts"))
     }
-    /// Over a connection that is open.
+    /// A client over an open connection.
     pub fn from_stream(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Client(BufReader::new(stream))
     }
-    /// Sends a request without a body; false if the connection has ended.
-    pub fn try_send(&mut self, start: &str, headers: &str) -> bool {
-        let head = format!("{start} HTTP/1.1\r\nHost: service.internal\r\n{headers}\r\n");
+    /// Sends a request without a body; false if the connection is closed.
+    pub fn try_send(&mut self, start_line: &str, headers: &str) -> bool {
+        let head = format!("{start_line} HTTP/1.1\r\nHost: service.internal\r\n{headers}\r\n");
         self.0.get_mut().write_all(head.as_bytes()).is_ok()
     }
-    /// The answer; nothing if the connection ends before its first byte, and an error if it does within it.
+    /// The response: `None` if the connection ends before its first byte, an error if it ends within the
+    /// response.
     pub fn try_answer(&mut self) -> Result<Option<Message>, String> {
         while self.0.fill_buf().is_err_and(|e| e.kind() == std::io::ErrorKind::Interrupted) {}
         match self.0.fill_buf() {
             Ok([]) => Ok(None),
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => Ok(None),
             Err(e) => Err(format!("no answer: {e}")),
-            Ok(_) => read_message(&mut self.0).ok_or("half an answer".into()).map(Some),
+            Ok(_) => read_message(&mut self.0).ok_or("a truncated answer".into()).map(Some),
         }
     }
-    pub fn send(&mut self, start: &str, headers: &str, body: &[u8]) {
+    /// Sends a request.
+    pub fn send(&mut self, start_line: &str, headers: &str, body: &[u8]) {
         let length =
             if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
-        let head = format!("{start} HTTP/1.1\r\nHost: service.internal\r\n{headers}{length}\r\n");
+        let head = format!("{start_line} HTTP/1.1\r\nHost: service.internal\r\n{headers}{length}\r\n");
         self.0.get_mut().write_all(&[head.as_bytes(), body].concat()).expect("the node reads");
     }
-    /// The answer; `None` if the connection ends without one.
+    /// The response; `None` if the connection ends first.
     pub fn answer(&mut self) -> Option<Message> {
         read_message(&mut self.0)
     }
-    pub fn request(&mut self, start: &str, headers: &str, body: &[u8]) -> Message {
-        self.send(start, headers, body);
+    /// Sends a request and waits for the response.
+    pub fn request(&mut self, start_line: &str, headers: &str, body: &[u8]) -> Message {
+        self.send(start_line, headers, body);
         self.answer().expect("an answer")
     }
+    /// Sends a request of the class `read` and waits for the response.
     pub fn request_read(&mut self) -> Message {
         self.request("GET /read/1f", &common_headers(20_000), b"")
     }
+    /// Sends a request of the class `correct`.
     pub fn send_correct(&mut self) {
         self.send("POST /correct/1f", &common_headers(20_000), b"sheet");
     }
+    /// Sends a request of the class `correct` and waits for the response.
     pub fn request_correct(&mut self) -> Message {
         self.send_correct();
         self.answer().expect("an answer")
     }
+    /// Sends raw bytes.
     pub fn write(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).expect("the node reads");
     }
+    /// The connection's local port.
     pub fn local_port(&self) -> u16 {
         self.0.get_ref().local_addr().expect("its address").port()
     }
-    /// A second handle, to write by.
+    /// A second handle to write to the connection.
     pub fn write_handle(&self) -> TcpStream {
         self.0.get_ref().try_clone().expect("a handle")
     }
+    /// Reads a line.
     pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).expect("a line");
         line
     }
-    /// All that still comes, however that ends.
+    /// All bytes until the connection ends, also if it ends with an error.
     pub fn read_to_end(&mut self) -> Vec<u8> {
         let mut all = Vec::new();
         let _ = self.0.read_to_end(&mut all);
         all
     }
-    /// Whether the node has ended this connection.
+    /// Whether the node closes this connection without another response.
     pub fn is_closed(&mut self) -> bool {
         self.answer().is_none()
     }
 }
 
+/// The headers that each request needs, with a call id of its own.
 pub fn common_headers(budget_ms: u64) -> String {
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     format!("X-Call-Id: {number:016x}\r\nX-Caller: acme\r\nX-Budget-Ms: {budget_ms}\r\n")
