--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -252,9 +252,7 @@
     pub fn send_list_until(&self, line: &str, shows: impl Fn() -> bool, what: &str) -> Watch {
         let mut watch = self.next_call();
         let send = |watch: &Watch| {
-            watch.try_with(|stream| {
-                stream.write_all(OPEN.as_bytes()).and_then(|()| write_chunk(stream, line))
-            });
+            watch.try_with(|s| s.write_all(OPEN.as_bytes()).and_then(|()| write_chunk(s, line)));
             watch.start_heartbeat();
         };
         send(&watch);
@@ -276,9 +274,7 @@
         spawn(move || {
             let mut open = Vec::new();
             for watch in self.calls {
-                watch.try_with(|stream| {
-                    stream.write_all(OPEN.as_bytes()).and_then(|()| write_chunk(stream, &line))
-                });
+                watch.try_with(|s| s.write_all(OPEN.as_bytes()).and_then(|()| write_chunk(s, &line)));
                 watch.start_heartbeat();
                 open.push(watch);
             }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,4 +1,5 @@
-//! The real node over loopback sockets: each test is one failure, seen by a peer.
+//! Tests of the node as a process over loopback sockets, as its peers see it: each test stages one kind of
+//! failure.
 
 mod bodies;
 mod harness;
@@ -18,8 +19,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A pair of backends that share a script; it is told how many requests came before, at either.
-fn pair(script: impl Fn(usize) -> Reply + Send + Sync + 'static) -> (Backend, Backend) {
+/// Two backends that share a script. The script is told how many requests both have received before.
+fn two_backends(script: impl Fn(usize) -> Reply + Send + Sync + 'static) -> (Backend, Backend) {
     let (count, script) = (Arc::new(AtomicUsize::new(0)), Arc::new(script));
     let start = || {
         let (count, script) = (count.clone(), script.clone());
@@ -28,17 +29,18 @@
     (start(), start())
 }
 
-/// The first attempt ends as the script says, all others are served.
-fn first(reply: impl Fn() -> Reply + Send + Sync + 'static) -> (Backend, Backend) {
-    pair(move |before| if before == 0 { reply() } else { ok("second") })
+/// Two backends of which the first attempt gets this reply and all others are served.
+fn first_attempt_gets(reply: impl Fn() -> Reply + Send + Sync + 'static) -> (Backend, Backend) {
+    two_backends(move |before| if before == 0 { reply() } else { ok("second") })
 }
 
+/// A latency target and a budget that no request of these tests exceeds, in milliseconds.
 const LONG: u64 = 20_000;
 
 // ---- Outcomes -----------------------------------------------------------------------------------
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
+fn requests_and_responses_are_forwarded_unchanged() {
     let backend = Backend::start(|_| {
         Reply::Answer("200 OK", "X-Load-Report: inflight=1,queue=0\r\n", vec![0, 255, 10])
     });
@@ -55,43 +57,43 @@
 }
 
 #[test]
-fn what_may_have_run_is_sent_again_only_if_that_is_safe() {
+fn a_request_that_may_have_run_is_retried_only_if_idempotent() {
     let endings: [fn() -> Reply; 5] = [
         || Reply::Answer("500 Oops", "", vec![]),
-        // Without X-Rejected nothing is promised.
+        // Without X-Rejected the response does not promise that the request never ran.
         || Reply::Answer("503 Busy", "", vec![]),
         || Reply::Close(vec![]),
         || Reply::Close(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
         || Reply::Close(b"no HTTP at all\r\n\r\n".to_vec()),
     ];
     for (i, ending) in endings.into_iter().enumerate() {
-        let (one, two) = first(ending);
+        let (one, two) = first_attempt_gets(ending);
         let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&one, &two]);
         let answer = node.client().request_correct();
         assert!(![200, 429, 503].contains(&answer.status()), "case {i}: {answer:?}");
         assert_eq!(one.request_count() + two.request_count(), 1, "case {i}");
 
-        let (one, two) = first(ending);
+        let (one, two) = first_attempt_gets(ending);
         let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&one, &two]);
         assert_eq!(node.client().request_read().body, b"second", "case {i}");
     }
 }
 
 #[test]
-fn what_never_ran_is_sent_again_even_if_it_must_not_run_twice() {
+fn a_request_that_never_ran_is_retried_even_if_not_idempotent() {
     for status in ["503 Full", "504 Over"] {
-        let (one, two) = first(move || Reply::Answer(status, "X-Rejected: 1\r\n", vec![]));
+        let (one, two) = first_attempt_gets(move || Reply::Answer(status, "X-Rejected: 1\r\n", vec![]));
         let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&one, &two]);
         assert_eq!(node.client().request_correct().body, b"second", "{status}");
     }
     // A backend that refuses connections.
-    let gone = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
+    let closed_port = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
     let backend = Backend::start(|_| ok("here"));
     let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[]);
     watch.send_line(&list(
         9,
         true,
-        &[entry("s-0", gone, "in_service"), entry("s-1", backend.address, "in_service")],
+        &[entry("s-0", closed_port, "in_service"), entry("s-1", backend.address, "in_service")],
     ));
     for _ in 0..8 {
         assert_eq!(node.client().request_correct().body, b"here");
@@ -99,7 +101,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back() {
+fn a_refused_request_gets_a_retry_after_header() {
     let backend = Backend::start(|_| Reply::Answer("503 Full", "X-Rejected: 1\r\n", vec![]));
     let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let answer = node.client().request_correct();
@@ -108,20 +110,20 @@
 }
 
 #[test]
-fn an_attempt_without_an_answer_ends_in_time_and_closes_its_connection() {
+fn an_attempt_without_a_response_times_out_and_closes_its_connection() {
     let backend = Backend::start(|_| Reply::Silence);
     let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let mut client = node.client();
-    let asked = Instant::now();
+    let start = Instant::now();
     let answer = client.request("POST /correct/1", &common_headers(600), b"sheet");
-    assert!(asked.elapsed() >= Duration::from_millis(300), "it was waited for");
-    // It may still run: to refuse it would promise that it never did.
+    assert!(start.elapsed() >= Duration::from_millis(300), "the node waited for the attempt");
+    // The request may still run, so the status must not promise that it never ran.
     assert!(![200, 429, 503].contains(&answer.status()), "{answer:?}");
     backend.next_closed();
 }
 
 #[test]
-fn a_silent_attempt_is_followed_by_a_copy_and_closed_when_that_is_answered() {
+fn a_silent_attempt_is_hedged_and_cancelled_when_the_hedge_is_answered() {
     let silent = Arc::new(AtomicBool::new(false));
     let start = || {
         let silent = silent.clone();
@@ -131,21 +133,22 @@
     };
     let (one, two) = (start(), start());
     let (node, _watch, _discovery) = serving_node(&settings(4000, r#","ParallelTries":true"#), &[&one, &two]);
-    // Answers first show how fast they come, and so how long an attempt may be silent.
+    // The node first learns usual response times, and from them when to send a hedged attempt.
     let mut client = node.client();
     (0..150).for_each(|_| assert_eq!(client.request_read().status(), 200));
     let before = one.request_count() + two.request_count();
-    let _ = (one.has_closed(), two.has_closed()); // a slow machine's first answers may have had copies too
+    // On a slow machine there may have been hedged attempts already.
+    let _ = (one.has_closed(), two.has_closed());
     silent.store(true, Ordering::SeqCst);
     assert_eq!(client.request_read().status(), 200);
     assert!(one.request_count() + two.request_count() >= before + 2);
-    wait_until(|| one.has_closed() || two.has_closed(), "the end of the silent attempt's connection");
+    wait_until(|| one.has_closed() || two.has_closed(), "the close of the silent attempt's connection");
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
+fn a_client_disconnect_cancels_its_attempt() {
     let backend = Backend::start(|_| Reply::Silence);
-    // Nothing else ends the attempt while the test waits.
+    // With this deadline nothing else ends the attempt during the test.
     let (node, _watch, _discovery) = serving_node(&settings(500_000, ""), &[&backend]);
     let mut client = node.client();
     client.send("POST /correct/1", &common_headers(500_000), b"sheet");
@@ -158,7 +161,7 @@
 // ---- Connections --------------------------------------------------------------------------------
 
 #[test]
-fn a_connection_is_used_again_and_closed_before_its_backend_would() {
+fn an_idle_connection_is_reused_and_closed_before_the_backend_closes_it() {
     let backend = Backend::start(|_| ok(""));
     let (node, _watch, _discovery) = serving_node(&settings(LONG, r#","IdleClose":2000"#), &[&backend]);
     let mut client = node.client();
@@ -167,7 +170,7 @@
         assert_eq!(backend.next_request().0, 0);
     }
     assert_eq!(backend.next_closed(), 0);
-    // A new client: the node may have closed the connection of the idle one as well.
+    // A new client, because the node may have closed the idle client connection as well.
     assert_eq!(node.client().request_read().status(), 200);
     assert_eq!(backend.next_request().0, 1);
 }
@@ -183,11 +186,11 @@
         ok("")
     });
     let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
-    // By answers in time the module learns that the backend can take two at once.
+    // From responses in time the node learns that the backend can take two requests at once.
     let mut clients = [node.client(), node.client()];
     for _ in 0..40 {
         assert_eq!(clients[0].request_read().status(), 200);
-        backend.next_request(); // on one of few connections, which rest in turn
+        backend.next_request(); // on any of its connections
     }
     clients.iter_mut().for_each(Client::send_correct);
     assert_ne!(backend.next_request().0, backend.next_request().0);
@@ -198,21 +201,21 @@
 }
 
 #[test]
-fn a_connection_that_broke_while_idle_costs_no_request() {
-    // Each answer is the connection's last, and nothing says so.
+fn a_connection_that_closes_while_idle_fails_no_request() {
+    // The backend closes the connection after each response without announcing it.
     let backend = Backend::start(|_| Reply::Close(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec()));
     let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     for connection in 0..5 {
         assert_eq!(node.client().request_correct().status(), 200);
         assert_eq!(backend.next_closed(), connection);
-        // Its end is on its way to the node before the next request is.
+        // The close is sent before the next request.
     }
 }
 
 // ---- Discovery ----------------------------------------------------------------------------------
 
 #[test]
-fn a_backend_told_to_drain_gets_nothing_new_and_its_idle_connection_closes() {
+fn a_draining_backend_gets_no_new_requests_and_its_idle_connection_is_closed() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[&old]);
     assert_eq!(node.client().request_read().body, b"old");
@@ -229,7 +232,7 @@
 }
 
 #[test]
-fn a_backend_that_moves_is_found_at_its_new_address() {
+fn a_backend_that_moves_is_used_at_its_new_address() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[&old]);
     assert_eq!(node.client().request_read().body, b"old");
@@ -239,7 +242,7 @@
 }
 
 #[test]
-fn a_broken_watch_is_taken_up_where_it_broke() {
+fn a_broken_watch_is_resumed_from_the_last_version() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let (node, mut watch, discovery) = serving_node(&settings(LONG, ""), &[&old]);
     assert!(
@@ -252,7 +255,7 @@
     drop(watch);
     let mut watch = discovery.next_call();
     assert!(watch.start_line.contains("index=12 "), "{}", watch.start_line);
-    // It keeps serving from the list it has, and tries again if a call fails.
+    // It keeps serving from the list it has, and retries when a request to discovery fails.
     assert_eq!(node.client().request_read().body, b"old");
     watch.write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
     let mut watch = discovery.next_call();
@@ -263,13 +266,13 @@
 }
 
 #[test]
-fn a_node_that_starts_while_discovery_is_down_serves_from_the_list_it_last_had() {
+fn a_node_that_starts_while_discovery_is_down_serves_from_its_configured_list() {
     let backend = Backend::start(|_| ok("known"));
     let down = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
     let config = config(down, &settings(LONG, ""), 1024);
     let known = entry("s-0", backend.address, "in_service");
     let config = config.replace("\"endpoints\":[]", &format!("\"endpoints\":[{known}]"));
-    // Discovery counts from 0.
+    // Index 0 is valid: discovery counts from 0.
     for config in [config.replace("\"index\":7", "\"index\":0"), config] {
         let node = Node::start(&config, "");
         wait_until(|| node.is_ready(), "readiness");
@@ -278,7 +281,7 @@
 }
 
 #[test]
-fn a_node_that_knows_no_backend_is_not_ready() {
+fn a_node_without_a_server_list_is_not_ready() {
     let discovery = Discovery::start();
     let node = Node::start(&config(discovery.address, &settings(LONG, ""), 1024), "");
     let mut watch = discovery.next_call();
@@ -289,17 +292,21 @@
 }
 
 #[test]
-fn a_node_told_that_discovery_has_moved_takes_up_its_watch_there() {
+fn after_a_reload_the_watch_continues_at_the_new_discovery_address() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let (node, _watch, _before) = serving_node(&settings(LONG, ""), &[&old]);
-    // What can't be read changes nothing.
+    // An unreadable configuration changes nothing.
     node.reload("half a conf");
     node.wait_for_log("all stays as it was");
     assert_eq!(node.client().request_read().body, b"old");
     let after = Discovery::start();
     node.reload(&with_ops(&config(after.address, &settings(LONG, ""), 1024)));
     let mut watch = after.next_call();
-    assert!(watch.start_line.contains("stream=1&index=8 "), "from the list it has: {}", watch.start_line);
+    assert!(
+        watch.start_line.contains("stream=1&index=8 "),
+        "it continues from its version: {}",
+        watch.start_line
+    );
     assert_eq!(node.client().request_read().body, b"old");
     watch.open();
     watch.send_line(&list(9, true, &[entry("s-1", new.address, "in_service")]));
@@ -308,7 +315,7 @@
 }
 
 #[test]
-fn a_silent_watch_is_broken() {
+fn a_stalled_watch_is_reopened() {
     let backend = Backend::start(|_| ok(""));
     let (_node, watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     watch.stop_heartbeat();
@@ -317,7 +324,7 @@
 }
 
 #[test]
-fn malformed_lists_and_reports_are_dropped_alone() {
+fn a_malformed_list_entry_or_report_is_dropped_alone() {
     let backend = Backend::start(|_| Reply::Answer("200 OK", "X-Load-Report: inflight=many\r\n", vec![]));
     let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[]);
     watch.send_line("{\"index\": 9, \"endpoints\": 5}");
@@ -332,7 +339,7 @@
 }
 
 #[test]
-fn where_the_list_must_be_asked_for_it_is_asked_for() {
+fn a_node_that_must_ask_for_the_list_repeats_a_failed_call() {
     let backend = Backend::start(|_| ok(""));
     let asked = settings(LONG, "").replacen('{', r#"{"RegistryMode":"ask","#, 1);
     let asked = asked.replace(r#""DrainGrace":2000"#, r#""DrainGrace":2000,"MustAskIn":1000"#);
@@ -348,10 +355,10 @@
 // ---- Start, end and limits ----------------------------------------------------------------------
 
 #[test]
-fn a_node_told_to_stop_finishes_what_it_holds_and_goes() {
+fn sigterm_finishes_accepted_requests_and_ends_the_process() {
     let (go, gate) = channel::<()>();
     let gate = Arc::new(Mutex::new(gate));
-    // One for each request that is held: a new node sends no two at once to one backend.
+    // One backend for each held request, because a new node sends one request at a time to a backend.
     let backends = [0, 1, 2].map(|_| {
         let gate = gate.clone();
         Backend::start(move |_| {
@@ -359,24 +366,24 @@
             ok("held")
         })
     });
-    let all = || backends.iter().map(Backend::request_count).sum::<usize>();
+    let received = || backends.iter().map(Backend::request_count).sum::<usize>();
     let (mut node, _watch, _discovery) = serving_node(&settings(LONG, ""), &backends.each_ref());
     let (mut held, mut kept, mut idle) = (node.client(), node.client(), node.client());
     assert_eq!(kept.request("GET /health/ready", "", b"").status(), 200);
     assert_eq!(idle.request("GET /health/ready", "", b"").status(), 200);
     held.send_correct();
-    wait_until(|| all() == 1, "the request at a backend");
+    wait_until(|| received() == 1, "the request at a backend");
     node.terminate();
     node.wait_for_log("told to stop");
-    // It still accepts and serves, and says that it goes.
+    // It still accepts and serves, and its responses close the connection.
     assert!(!node.is_ready());
     let (mut late, close) = (node.client(), Some("close"));
     late.send_correct();
     kept.send_correct();
-    wait_until(|| all() == 3, "all requests at backends");
+    wait_until(|| received() == 3, "all requests at backends");
     (0..3).for_each(|_| go.send(()).expect("the backend waits"));
     for client in [&mut held, &mut late, &mut kept] {
-        let answer = client.answer().expect("what was taken is answered");
+        let answer = client.answer().expect("accepted requests are answered");
         assert_eq!((answer.status(), answer.header("connection")), (200, close));
         assert!(client.is_closed());
     }
@@ -385,7 +392,7 @@
 }
 
 #[test]
-fn bad_input_is_told_so_and_reaches_no_backend() {
+fn malformed_requests_get_an_error_and_reach_no_backend() {
     let backend = Backend::start(|_| ok(""));
     let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
     let good = || common_headers(5000);
@@ -422,19 +429,19 @@
     ];
     for (start, headers, body) in cases {
         let answer = node.client().request(start, &headers, &body);
-        let promises = [429, 503].contains(&answer.status());
-        assert!((400..500).contains(&answer.status()) && !promises, "{start} {headers}: {answer:?}");
+        let never_ran = [429, 503].contains(&answer.status());
+        assert!((400..500).contains(&answer.status()) && !never_ran, "{start} {headers}: {answer:?}");
     }
     assert_eq!(backend.request_count(), 0);
-    // The longest body that is kept.
+    // The longest body that is buffered.
     let answer = node.client().request("POST /correct/1", &good(), &vec![b'x'; 64 * 1024]);
     assert_eq!((answer.status(), backend.next_request().1.body.len()), (200, 64 * 1024));
 }
 
 #[test]
-fn idle_clients_make_room_for_new_ones() {
+fn idle_client_connections_are_closed_for_new_ones() {
     let backend = Backend::start(|_| ok(""));
-    // 52 descriptors, 48 of them spared: three connections for clients, one for backends.
+    // 52 sockets, 48 of them reserved: three connections for clients, one for backends.
     let (node, _watch, _discovery) = serving_node_with(&settings(LONG, ""), &[&backend], 52, "");
     let mut clients = Vec::new();
     for _ in 0..20 {
@@ -446,7 +453,7 @@
 }
 
 #[test]
-fn who_waits_to_come_in_takes_the_place_of_the_first_to_fall_idle() {
+fn a_waiting_connection_is_accepted_when_the_first_client_becomes_idle() {
     let (go, gate) = channel::<()>();
     let gate = Arc::new(Mutex::new(gate));
     let backends = [0, 1].map(|_| {
@@ -458,7 +465,7 @@
             ok("")
         })
     });
-    // Three for clients, two for backends.
+    // Three connections for clients, two for backends.
     let (node, _watch, _discovery) = serving_node_with(&settings(LONG, ""), &backends.each_ref(), 53, "");
     let mut busy = [node.client(), node.client()];
     busy.iter_mut().for_each(Client::send_correct);
@@ -466,7 +473,7 @@
         || backends.iter().map(Backend::request_count).sum::<usize>() == 2,
         "both requests at backends",
     );
-    // The third is about to send a body, as it has been told to.
+    // The third has been told to continue and is about to send its body.
     let mut third = node.client();
     third.send(
         "POST /correct/1",
@@ -476,7 +483,7 @@
     assert_eq!(third.read_line(), "HTTP/1.1 100 Continue\r\n");
     let mut waiting = node.client();
     waiting.send("GET /health/ready", "", b"");
-    // The first answer frees no connection, it only leaves one idle.
+    // The first response closes no connection, it only makes one idle.
     go.send(()).expect("a backend waits");
     assert_eq!(waiting.answer().expect("an answer").status(), 200);
     go.send(()).expect("the other waits");
@@ -486,18 +493,18 @@
 }
 
 #[test]
-fn a_node_out_of_descriptors_serves_on_when_some_are_free_again() {
+fn a_node_out_of_descriptors_recovers_when_some_are_free_again() {
     let backend = Backend::start(|_| ok(""));
     let (node, _watch, _discovery) =
         serving_node_with(&settings(LONG, ""), &[&backend], 1024, "ulimit -n 30; ");
-    let crowd: Vec<Client> = (0..60).map(|_| node.client()).collect();
+    let clients: Vec<Client> = (0..60).map(|_| node.client()).collect();
     node.wait_for_log("cannot accept");
-    drop(crowd);
-    wait_until(|| node.client().request_read().status() == 200, "service after the crowd");
+    drop(clients);
+    wait_until(|| node.client().request_read().status() == 200, "service after the clients have left");
 }
 
 #[test]
-fn a_bad_configuration_is_told_in_one_line() {
+fn a_bad_configuration_is_reported_in_one_line() {
     let good = config("127.0.0.1:1".parse().expect("an address"), &settings(LONG, ""), 1024);
     let cases = [
         "not JSON".to_owned(),
@@ -510,8 +517,11 @@
     ];
     for config in cases {
         let output = command(&config, "").output().expect("it runs");
-        let said = String::from_utf8_lossy(&output.stderr);
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{config}");
-        assert!(said.starts_with("sillward: bad configuration: ") && said.lines().count() == 1, "{said}");
+        assert!(
+            stderr.starts_with("sillward: bad configuration: ") && stderr.lines().count() == 1,
+            "{stderr}"
+        );
     }
 }
--- a/tests/races/backends.rs
+++ b/tests/races/backends.rs
@@ -1,1 +1,2 @@
-//! A backend's connection: its end, its bytes out of turn and its broken answers, against what the node writes.
+//! Races of what the node writes with the close of a backend's connection, unsolicited bytes and truncated
+//! responses on it.
--- a/tests/races/lists.rs
+++ b/tests/races/lists.rs
@@ -1,37 +1,37 @@
-//! Drains, silences and moves of discovery, against each other and against crowds.
+//! Races of drains, stalls and restarts of discovery with one another and with many clients.
 
 use crate::harness::*;
 use rustix::net::{AddressFamily, SocketType, bind, listen, socket};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// Lists are asked for, and the settings allow any time between calls.
-fn asked(within_ms: u64, grace_ms: u64) -> String {
-    let asked = settings(20_000, "").replacen('{', r#"{"RegistryMode":"ask","#, 1);
-    let rules = format!(r#""DrainGrace":{grace_ms},"MustAskIn":{within_ms}"#);
-    asked.replace(r#""DrainGrace":2000"#, &rules)
+/// Settings under which the node must ask for the list, at least every `interval_ms`.
+fn polling_settings(interval_ms: u64, grace_ms: u64) -> String {
+    let settings = settings(20_000, "").replacen('{', r#"{"RegistryMode":"ask","#, 1);
+    let rules = format!(r#""DrainGrace":{grace_ms},"MustAskIn":{interval_ms}"#);
+    settings.replace(r#""DrainGrace":2000"#, &rules)
 }
 
-/// With a list from before that holds this backend.
-fn knowing(config: &str, backend: &Backend) -> String {
+/// The configuration with this backend on its known list.
+fn with_known(config: &str, backend: &Backend) -> String {
     let known = entry("s-0", backend.address, "in_service");
     config.replace("\"endpoints\":[]", &format!("\"endpoints\":[{known}]"))
 }
 
-/// The first is told to stop, in the next version.
-fn drained(old: &Backend, new: &Backend) -> String {
+/// The next version of the list, in which the old backend drains.
+fn drain_update(old: &Backend, new: &Backend) -> String {
     list(9, false, &[entry("s-0", old.address, "terminating"), entry("s-1", new.address, "in_service")])
 }
 
-/// A place where discovery is not yet: calls are refused.
-fn refusing() -> TcpListener {
-    let place = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
-    bind(&place, &SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).expect("a port");
-    TcpListener::from(place)
+/// A bound socket that does not listen yet, so that connections to it are refused.
+fn refusing_socket() -> TcpListener {
+    let bound_socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
+    bind(&bound_socket, &SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).expect("a port");
+    TcpListener::from(bound_socket)
 }
 
-/// The node sends to the second one alone from now on.
-fn has_left(node: &Node, old: &Backend) {
+/// Checks that the node has the new list and sends nothing to the old backend any more.
+fn assert_drained(node: &Node, old: &Backend) {
     wait_until(|| node.client().request_read().body == b"new", "the list");
     let before = old.request_count();
     for _ in 0..5 {
@@ -40,28 +40,30 @@
     assert_eq!(old.request_count(), before);
 }
 
-/// However long the settings allow between calls, a list is there soon after discovery, which refuses calls, answers them
-/// with an error or breaks them off before that.
+/// Guards against a backoff that grows with the interval of the settings: however long that is, the node has
+/// a list soon after discovery works again, which before refuses connections, answers with an error and
+/// closes a response.
 #[test]
 fn a_list_that_must_be_asked_for_is_there_soon_after_discovery() {
-    for (within_ms, grace_ms) in [(600_000, 250), (60_000, 700)] {
+    for (interval_ms, grace_ms) in [(600_000, 250), (60_000, 700)] {
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-        let place = refusing();
-        let address = place.local_addr().expect("its address");
-        let config = knowing(&config(address, &asked(within_ms, grace_ms), 1024), &old);
+        let listener = refusing_socket();
+        let address = listener.local_addr().expect("its address");
+        let config = with_known(&config(address, &polling_settings(interval_ms, grace_ms), 1024), &old);
         let node = Node::start(&config, "");
         node.wait_for_log("the watch broke");
-        listen(&place, 64).expect("calls are taken");
-        let discovery = Discovery::on(place);
+        listen(&listener, 64).expect("connections are accepted");
+        let discovery = Discovery::on(listener);
         discovery.next_call().write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
         discovery.next_call().open();
         drop(discovery.next_call());
-        discovery.answer_all_calls(&drained(&old, &new));
-        has_left(&node, &old);
+        discovery.answer_all_calls(&drain_update(&old, &new));
+        assert_drained(&node, &old);
     }
 }
 
-/// The node finds both when it has its next turn: on a watch that is open, and on a call whose head had not come.
+/// The process is stopped while a value and the reset after it arrive, so that it reads both at once: on an
+/// open watch, and on a watch whose response head arrives with them.
 #[test]
 fn a_last_value_and_the_reset_behind_it_in_one_read() {
     for opened in [true, false] {
@@ -78,52 +80,54 @@
         if !opened {
             watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
-        watch.send_line(&drained(&old, &new));
+        watch.send_line(&drain_update(&old, &new));
         watch.reset();
         node.resume();
         let mut next = discovery.next_call();
-        assert!(next.start_line.contains("index=9 "), "the value counts: {}", next.start_line);
+        assert!(next.start_line.contains("index=9 "), "the value has been applied: {}", next.start_line);
         next.open();
-        has_left(&node, &old);
+        assert_drained(&node, &old);
     }
 }
 
-/// The crowd holds all connections that clients may have, and more wait for a place. Discovery refuses calls or says
-/// nothing to them meanwhile; the list, dials to backends, the operators and good clients have their descriptors.
+/// Idle clients hold all connections that clients may have, and more wait to be accepted. Meanwhile discovery
+/// refuses connections or does not answer. Discovery, connections to backends, the operators and well-behaved
+/// clients must still get descriptors.
 #[test]
 fn idle_clients_that_fill_all_descriptors_keep_no_list_away() {
     const SOCKETS: usize = 128;
     for silent in [false, true] {
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-        let place = refusing();
+        let listener = refusing_socket();
         if silent {
-            listen(&place, 64).expect("calls are taken");
+            listen(&listener, 64).expect("calls are taken");
         }
-        let address = place.local_addr().expect("its address");
+        let address = listener.local_addr().expect("its address");
         let config = with_ops(&config(address, &settings(20_000, ""), SOCKETS));
-        let node = Node::start(&knowing(&config, &old), &format!("ulimit -n {SOCKETS}; "));
+        let node = Node::start(&with_known(&config, &old), &format!("ulimit -n {SOCKETS}; "));
         wait_until(|| node.is_ready(), "readiness");
         node.wait_for_log("the watch broke");
         let ops = node.ops_address();
-        let (over, shut_out) = (AtomicBool::new(false), AtomicUsize::new(0));
+        let (finished, retried) = (AtomicBool::new(false), AtomicUsize::new(0));
         std::thread::scope(|scope| {
-            let crowd = || {
+            let hold_connections = || {
                 let mut held = Vec::new();
-                for one in 0..3_000 {
+                for number in 0..3_000 {
                     if held.len() == 1_000 {
-                        held.drain(..100); // whoever was sent off comes again
+                        held.drain(..100); // those that were closed are replaced
                     }
                     held.push(TcpStream::connect(node.address).expect("the node listens"));
-                    if one > 1_000 && over.load(Ordering::SeqCst) {
+                    if number > 1_000 && finished.load(Ordering::SeqCst) {
                         break;
                     }
                 }
-                wait_until(|| over.load(Ordering::SeqCst), "the test's end");
+                wait_until(|| finished.load(Ordering::SeqCst), "the test's end");
                 held.len()
             };
-            let crowds = [scope.spawn(crowd), scope.spawn(crowd)];
-            let asks = || {
-                // Its connection may be the longest silent one before its request is there: then it comes again.
+            let holders = [scope.spawn(hold_connections), scope.spawn(hold_connections)];
+            let request = || {
+                // The node may close this connection as the longest idle one before the request arrives: then
+                // retry.
                 loop {
                     let mut client = node.client();
                     let sent = client.try_send("POST /correct/1f", &common_headers(20_000));
@@ -132,28 +136,28 @@
                             assert_eq!(answer.status(), 200);
                             return answer.body;
                         }
-                        _ => shut_out.fetch_add(1, Ordering::SeqCst),
+                        _ => retried.fetch_add(1, Ordering::SeqCst),
                     };
                 }
             };
-            (0..50).for_each(|_| assert_eq!(asks(), b"old"));
+            (0..50).for_each(|_| assert_eq!(request(), b"old"));
             assert_eq!(Client::connect(ops).request("GET /status", "", b"").status(), 200);
             if !silent {
-                listen(&place, 64).expect("calls are taken");
+                listen(&listener, 64).expect("calls are taken");
             }
-            Discovery::on(place).answer_all_calls(&drained(&old, &new));
-            wait_until(|| asks() == b"new", "the list");
-            (0..50).for_each(|_| assert_eq!(asks(), b"new"));
-            over.store(true, Ordering::SeqCst);
-            let held: usize = crowds.map(|crowd| crowd.join().expect("a crowd")).iter().sum();
+            Discovery::on(listener).answer_all_calls(&drain_update(&old, &new));
+            wait_until(|| request() == b"new", "the list");
+            (0..50).for_each(|_| assert_eq!(request(), b"new"));
+            finished.store(true, Ordering::SeqCst);
+            let held: usize = holders.map(|holder| holder.join().expect("the thread")).iter().sum();
             eprintln!(
-                "silent {silent}: {held} held at the end, {} came again",
-                shut_out.load(Ordering::SeqCst)
+                "silent {silent}: {held} connections held at the end, {} requests retried",
+                retried.load(Ordering::SeqCst)
             );
         });
-        for none in ["cannot accept", "cannot dial", "connection limit reached", "command queue is full"] {
-            assert!(!node.has_logged(none), "{none}");
+        for message in ["cannot accept", "cannot dial", "connection limit reached", "command queue is full"] {
+            assert!(!node.has_logged(message), "{message}");
         }
-        wait_until(|| node.open_descriptors() < 40, "the crowd's descriptors to come back");
+        wait_until(|| node.open_descriptors() < 40, "the descriptors of idle clients to be closed");
     }
 }
--- a/tests/races/mod.rs
+++ b/tests/races/mod.rs
@@ -1,5 +1,6 @@
-//! Two events that cross, each order forced: what a peer of the node sees. `docs/crossings.md` has a row for each; the
-//! moments that only a clock can force are tested beside the part of the node that owns them.
+//! Races between two events: each order is forced, and a peer of the node checks the result.
+//! `docs/crossings.md` has a row for each race. Orders that only a paused clock can force are tested next to
+//! the module that they concern.
 
 mod backends;
 mod client_gone;
--- a/tests/races/retries.rs
+++ b/tests/races/retries.rs
@@ -1,1 +1,2 @@
-//! Attempts that end as another begins, a window ends or the settings change.
+//! Races of an attempt's end with the start of another attempt, the end of a deduplication window and a
+//! change of settings.
