--- a/src/bin/sillward/node.rs
+++ b/src/bin/sillward/node.rs
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Sets a timer for this time on the node's clock.
-    fn schedule(&mut self, at: Duration, timer: Timer) {
+    /// Arms a timer for this time on the node's clock.
+    fn arm(&mut self, at: Duration, timer: Timer) {
         self.timer_sequence += 1; // timers due at the same time fire in the order in which they were set
         self.timers.push(Reverse((at, self.timer_sequence, timer)));
     }
@@ -246,7 +246,7 @@
 
     /// Sets the deadline timer one tick early, so that the answer reaches the client before it gives up.
     fn set_deadline(&mut self, id: RequestId, deadline: Duration) {
-        self.schedule(deadline.saturating_sub(self.site.settings.timer_resolution), Timer::Deadline(id));
+        self.arm(deadline.saturating_sub(self.site.settings.timer_resolution), Timer::Deadline(id));
     }
 
     fn on_body_received(&mut self, id: RequestId) {
@@ -337,9 +337,7 @@
             Action::Refuse { id, retry_after } => self.answer(id, Answer::Refused(retry_after)),
             Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => self.stop_attempt(id, attempt, StopReason::Cancelled),
-            Action::SetTimer { after, token } => {
-                self.schedule(self.clock.now() + after, Timer::Module(token))
-            }
+            Action::SetTimer { after, token } => self.arm(self.clock.now() + after, Timer::Module(token)),
             Action::Probe { server } => self.start_probe(server),
             Action::CloseIdle { server } => self.pool.close_idle(server),
             Action::Subscribe { on } => self.send_to_discovery(DiscoveryCommand::Subscribe(on)),
@@ -414,7 +412,7 @@
         });
         if !attempt.forward.body.is_incomplete() {
             // While the body is being received, the attempt has no timeout.
-            self.schedule(attempt_deadline, Timer::Attempt(id, number));
+            self.arm(attempt_deadline, Timer::Attempt(id, number));
         }
         let (pool, messages) = (self.pool.clone(), self.messages.clone());
         let result = pool.attempt(attempt, stopped, messages.clone());
--- a/tests/races/lists.rs
+++ b/tests/races/lists.rs
@@ -31,7 +31,7 @@
 }
 
 /// Checks that the node has the new list and sends nothing to the old backend any more.
-fn assert_drained(node: &Node, old: &Backend) {
+fn check_drained(node: &Node, old: &Backend) {
     wait_until(|| node.client().request_read().body == b"new", "the list");
     let before = old.request_count();
     for _ in 0..5 {
@@ -58,7 +58,7 @@
         discovery.next_call().open();
         drop(discovery.next_call());
         discovery.answer_all_calls(&drain_update(&old, &new));
-        assert_drained(&node, &old);
+        check_drained(&node, &old);
     }
 }
 
@@ -86,7 +86,7 @@
         let mut next = discovery.next_call();
         assert!(next.start_line.contains("index=9 "), "the value has been applied: {}", next.start_line);
         next.open();
-        assert_drained(&node, &old);
+        check_drained(&node, &old);
     }
 }
 
--- a/tests/races/settings.rs
+++ b/tests/races/settings.rs
@@ -43,7 +43,7 @@
     }
 
     /// A request is served.
-    fn assert_served(&self, start_line: &str) {
+    fn check_served(&self, start_line: &str) {
         assert_eq!(
             self.node.client().request(start_line, &common_headers(LONG), b"").status(),
             200,
@@ -65,15 +65,15 @@
     let mut file = slow.begin_reload();
     let text = slow.config_with_class("amend");
     let (first, rest) = text.split_at(text.len() / 2);
-    slow.assert_served("GET /read/1");
+    slow.check_served("GET /read/1");
     file.write_all(first.as_bytes()).expect("the node reads it");
-    slow.assert_served("POST /correct/1");
+    slow.check_served("POST /correct/1");
     assert_eq!(slow.node.client().request("POST /amend/1", &common_headers(LONG), b"").status(), 404);
     assert_eq!(slow.node.ops_call("GET /status"), 200);
     file.write_all(rest.as_bytes()).expect("the node reads it");
     drop(file);
     slow.node.wait_for_log("classes are read, submit, amend");
-    slow.assert_served("POST /amend/1");
+    slow.check_served("POST /amend/1");
     assert_eq!(slow.node.client().request("POST /correct/1", &common_headers(LONG), b"").status(), 404);
 }
 
@@ -83,12 +83,12 @@
     let mut file = slow.begin_reload();
     replace_config(slow.node.config(), &slow.config_with_class("second"));
     slow.node.signal("-HUP");
-    slow.assert_served("GET /read/1"); // by now the node has received the signal
+    slow.check_served("GET /read/1"); // by now the node has received the signal
     file.write_all(slow.config_with_class("first").as_bytes()).expect("the node reads it");
     drop(file);
     slow.node.wait_for_log("classes are read, submit, first");
     slow.node.wait_for_log("classes are read, submit, second");
-    slow.assert_served("POST /second/1");
+    slow.check_served("POST /second/1");
 }
 
 #[test]
@@ -99,7 +99,7 @@
     file.write_all(&text.as_bytes()[..text.len() - 1]).expect("the node reads it");
     drop(file);
     slow.node.wait_for_log("all stays as it was");
-    slow.assert_served("POST /correct/1");
+    slow.check_served("POST /correct/1");
     // A complete file is accepted afterwards.
     replace_config(slow.node.config(), &slow.config_with_class("amend"));
     slow.node.signal("-HUP");
@@ -110,7 +110,7 @@
 fn a_process_that_is_told_to_stop_does_not_wait_for_a_file_that_never_ends() {
     let mut slow = SlowReload::start();
     let _file = slow.begin_reload();
-    slow.assert_served("GET /read/1");
+    slow.check_served("GET /read/1");
     slow.node.terminate();
     assert_eq!(slow.node.wait_for_exit().code(), Some(0));
 }
