--- a/src/bin/sillward/backend/tests.rs
+++ b/src/bin/sillward/backend/tests.rs
@@ -254,7 +254,7 @@
             spawn_local(async move {
                 while let Some(id) = read_request_id(&mut stream).await {
                     tokio::time::sleep(delay).await;
-                    let _ = stream.write_all(response_with(&id).as_bytes()).await; // the pool may have closed it
+                    let _ = stream.write_all(response_with(&id).as_bytes()).await; // or it is closed
                     let next = unsolicited.borrow_mut().take();
                     if let Some((later, bytes)) = next {
                         tokio::time::sleep(later).await;
--- a/src/bin/sillward/messages.rs
+++ b/src/bin/sillward/messages.rs
@@ -182,11 +182,11 @@
 
     /// Asks the kernel whether the client has disconnected, and tells the node if so.
     pub fn check_disconnected(&self) -> bool {
-        let left = self.liveness.is_disconnected();
-        if left {
+        let disconnected = self.liveness.is_disconnected();
+        if disconnected {
             self.report_disconnected();
         }
-        left
+        disconnected
     }
 
     /// Tells the node that the client has disconnected, unless it has been told or the request is finished.
@@ -289,7 +289,7 @@
 }
 
 impl From<FleetView> for Message {
-    fn from(tier: FleetView) -> Self {
-        Message::FleetView(tier)
+    fn from(view: FleetView) -> Self {
+        Message::FleetView(view)
     }
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -34,8 +34,8 @@
     two_backends(move |before| if before == 0 { reply() } else { ok("second") })
 }
 
-/// A latency target and a budget that no request of these tests exceeds, in milliseconds.
-const LONG: u64 = 20_000;
+/// A latency target and a budget that no request of these tests exceeds.
+const LONG_MS: u64 = 20_000;
 
 // ---- Outcomes -----------------------------------------------------------------------------------
 
@@ -44,7 +44,7 @@
     let backend = Backend::start(|_| {
         Reply::Answer("200 OK", "X-Load-Report: inflight=1,queue=0\r\n", vec![0, 255, 10])
     });
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[&backend]);
     let headers = format!("{}Idempotency-Key: 5c0f6e\r\n", common_headers(5000));
     let answer = node.client().request("POST /submit/7f3a?x=1%202", &headers, b"body\0");
     assert_eq!((answer.status(), answer.body), (200, vec![0, 255, 10]));
@@ -68,13 +68,13 @@
     ];
     for (i, ending) in endings.into_iter().enumerate() {
         let (one, two) = first_attempt_gets(ending);
-        let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&one, &two]);
+        let (node, _watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[&one, &two]);
         let answer = node.client().request_correct();
         assert!(![200, 429, 503].contains(&answer.status()), "case {i}: {answer:?}");
         assert_eq!(one.request_count() + two.request_count(), 1, "case {i}");
 
         let (one, two) = first_attempt_gets(ending);
-        let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&one, &two]);
+        let (node, _watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[&one, &two]);
         assert_eq!(node.client().request_read().body, b"second", "case {i}");
     }
 }
@@ -83,13 +83,13 @@
 fn a_request_that_never_ran_is_retried_even_if_not_idempotent() {
     for status in ["503 Full", "504 Over"] {
         let (one, two) = first_attempt_gets(move || Reply::Answer(status, "X-Rejected: 1\r\n", vec![]));
-        let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&one, &two]);
+        let (node, _watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[&one, &two]);
         assert_eq!(node.client().request_correct().body, b"second", "{status}");
     }
     // A backend that refuses connections.
     let closed_port = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
     let backend = Backend::start(|_| ok("here"));
-    let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[]);
+    let (node, mut watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[]);
     watch.send_line(&list(
         9,
         true,
@@ -103,7 +103,7 @@
 #[test]
 fn a_refused_request_gets_a_retry_after_header() {
     let backend = Backend::start(|_| Reply::Answer("503 Full", "X-Rejected: 1\r\n", vec![]));
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[&backend]);
     let answer = node.client().request_correct();
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.header("retry-after"), Some("1.500"));
@@ -112,7 +112,7 @@
 #[test]
 fn an_attempt_without_a_response_times_out_and_closes_its_connection() {
     let backend = Backend::start(|_| Reply::Silence);
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[&backend]);
     let mut client = node.client();
     let start = Instant::now();
     let answer = client.request("POST /correct/1", &common_headers(600), b"sheet");
@@ -163,7 +163,7 @@
 #[test]
 fn an_idle_connection_is_reused_and_closed_before_the_backend_closes_it() {
     let backend = Backend::start(|_| ok(""));
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, r#","IdleClose":2000"#), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(LONG_MS, r#","IdleClose":2000"#), &[&backend]);
     let mut client = node.client();
     for _ in 0..5 {
         assert_eq!(client.request_read().status(), 200);
@@ -185,7 +185,7 @@
         }
         ok("")
     });
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[&backend]);
     // From responses in time the node learns that the backend can take two requests at once.
     let mut clients = [node.client(), node.client()];
     for _ in 0..40 {
@@ -204,7 +204,7 @@
 fn a_connection_that_closes_while_idle_fails_no_request() {
     // The backend closes the connection after each response without announcing it.
     let backend = Backend::start(|_| Reply::Close(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec()));
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[&backend]);
     for connection in 0..5 {
         assert_eq!(node.client().request_correct().status(), 200);
         assert_eq!(backend.next_closed(), connection);
@@ -217,7 +217,7 @@
 #[test]
 fn a_draining_backend_gets_no_new_requests_and_its_idle_connection_is_closed() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-    let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[&old]);
+    let (node, mut watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[&old]);
     assert_eq!(node.client().request_read().body, b"old");
     watch.send_line(&list(
         9,
@@ -234,7 +234,7 @@
 #[test]
 fn a_backend_that_moves_is_used_at_its_new_address() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-    let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[&old]);
+    let (node, mut watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[&old]);
     assert_eq!(node.client().request_read().body, b"old");
     watch.send_line(&list(9, false, &[entry("s-0", new.address, "in_service")]));
     old.next_closed();
@@ -244,7 +244,7 @@
 #[test]
 fn a_broken_watch_is_resumed_from_the_last_version() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-    let (node, mut watch, discovery) = serving_node(&settings(LONG, ""), &[&old]);
+    let (node, mut watch, discovery) = serving_node(&settings(LONG_MS, ""), &[&old]);
     assert!(
         watch.start_line.contains("stream=1&index=7 "),
         "it starts from the known list: {}",
@@ -269,7 +269,7 @@
 fn a_node_that_starts_while_discovery_is_down_serves_from_its_configured_list() {
     let backend = Backend::start(|_| ok("known"));
     let down = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
-    let config = config(down, &settings(LONG, ""), 1024);
+    let config = config(down, &settings(LONG_MS, ""), 1024);
     let known = entry("s-0", backend.address, "in_service");
     let config = config.replace("\"endpoints\":[]", &format!("\"endpoints\":[{known}]"));
     // Index 0 is valid: discovery counts from 0.
@@ -283,7 +283,7 @@
 #[test]
 fn a_node_without_a_server_list_is_not_ready() {
     let discovery = Discovery::start();
-    let node = Node::start(&config(discovery.address, &settings(LONG, ""), 1024), "");
+    let node = Node::start(&config(discovery.address, &settings(LONG_MS, ""), 1024), "");
     let mut watch = discovery.next_call();
     assert!(!node.is_ready());
     watch.open();
@@ -294,13 +294,13 @@
 #[test]
 fn after_a_reload_the_watch_continues_at_the_new_discovery_address() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-    let (node, _watch, _before) = serving_node(&settings(LONG, ""), &[&old]);
+    let (node, _watch, _before) = serving_node(&settings(LONG_MS, ""), &[&old]);
     // An unreadable configuration changes nothing.
     node.reload("half a conf");
     node.wait_for_log("all stays as it was");
     assert_eq!(node.client().request_read().body, b"old");
     let after = Discovery::start();
-    node.reload(&with_ops(&config(after.address, &settings(LONG, ""), 1024)));
+    node.reload(&with_ops(&config(after.address, &settings(LONG_MS, ""), 1024)));
     let mut watch = after.next_call();
     assert!(
         watch.start_line.contains("stream=1&index=8 "),
@@ -317,7 +317,7 @@
 #[test]
 fn a_stalled_watch_is_reopened() {
     let backend = Backend::start(|_| ok(""));
-    let (_node, watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (_node, watch, discovery) = serving_node(&settings(LONG_MS, ""), &[&backend]);
     watch.stop_heartbeat();
     assert!(discovery.next_call().start_line.contains("index=8 "));
     drop(watch);
@@ -326,7 +326,7 @@
 #[test]
 fn a_malformed_list_entry_or_report_is_dropped_alone() {
     let backend = Backend::start(|_| Reply::Answer("200 OK", "X-Load-Report: inflight=many\r\n", vec![]));
-    let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[]);
+    let (node, mut watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[]);
     watch.send_line("{\"index\": 9, \"endpoints\": 5}");
     watch.send_line("\u{1}\u{2}");
     let nowhere = r#"{"name":"s-2","address":"nowhere","zone":"a","status":"in_service"}"#.to_owned();
@@ -341,10 +341,10 @@
 #[test]
 fn a_node_that_must_ask_for_the_list_repeats_a_failed_call() {
     let backend = Backend::start(|_| ok(""));
-    let asked = settings(LONG, "").replacen('{', r#"{"RegistryMode":"ask","#, 1);
-    let asked = asked.replace(r#""DrainGrace":2000"#, r#""DrainGrace":2000,"MustAskIn":1000"#);
+    let polling = settings(LONG_MS, "").replacen('{', r#"{"RegistryMode":"ask","#, 1);
+    let polling = polling.replace(r#""DrainGrace":2000"#, r#""DrainGrace":2000,"MustAskIn":1000"#);
     let discovery = Discovery::start();
-    let node = Node::start(&config(discovery.address, &asked, 1024), "");
+    let node = Node::start(&config(discovery.address, &polling, 1024), "");
     discovery.next_call().write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
     let mut watch = discovery.next_call();
     watch.open();
@@ -367,9 +367,9 @@
         })
     });
     let received = || backends.iter().map(Backend::request_count).sum::<usize>();
-    let (mut node, _watch, _discovery) = serving_node(&settings(LONG, ""), &backends.each_ref());
-    let (mut held, mut kept, mut idle) = (node.client(), node.client(), node.client());
-    assert_eq!(kept.request("GET /health/ready", "", b"").status(), 200);
+    let (mut node, _watch, _discovery) = serving_node(&settings(LONG_MS, ""), &backends.each_ref());
+    let (mut held, mut keep_alive, mut idle) = (node.client(), node.client(), node.client());
+    assert_eq!(keep_alive.request("GET /health/ready", "", b"").status(), 200);
     assert_eq!(idle.request("GET /health/ready", "", b"").status(), 200);
     held.send_correct();
     wait_until(|| received() == 1, "the request at a backend");
@@ -379,10 +379,10 @@
     assert!(!node.is_ready());
     let (mut late, close) = (node.client(), Some("close"));
     late.send_correct();
-    kept.send_correct();
+    keep_alive.send_correct();
     wait_until(|| received() == 3, "all requests at backends");
     (0..3).for_each(|_| go.send(()).expect("the backend waits"));
-    for client in [&mut held, &mut late, &mut kept] {
+    for client in [&mut held, &mut late, &mut keep_alive] {
         let answer = client.answer().expect("accepted requests are answered");
         assert_eq!((answer.status(), answer.header("connection")), (200, close));
         assert!(client.is_closed());
@@ -394,7 +394,7 @@
 #[test]
 fn malformed_requests_get_an_error_and_reach_no_backend() {
     let backend = Backend::start(|_| ok(""));
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(LONG_MS, ""), &[&backend]);
     let good = || common_headers(5000);
     let without = |name: &str| {
         good().split_inclusive("\r\n").filter(|line| !line.starts_with(name)).collect::<String>()
@@ -442,7 +442,7 @@
 fn idle_client_connections_are_closed_for_new_ones() {
     let backend = Backend::start(|_| ok(""));
     // 52 sockets, 48 of them reserved: three connections for clients, one for backends.
-    let (node, _watch, _discovery) = serving_node_with(&settings(LONG, ""), &[&backend], 52, "");
+    let (node, _watch, _discovery) = serving_node_with(&settings(LONG_MS, ""), &[&backend], 52, "");
     let mut clients = Vec::new();
     for _ in 0..20 {
         let mut client = node.client();
@@ -466,7 +466,7 @@
         })
     });
     // Three connections for clients, two for backends.
-    let (node, _watch, _discovery) = serving_node_with(&settings(LONG, ""), &backends.each_ref(), 53, "");
+    let (node, _watch, _discovery) = serving_node_with(&settings(LONG_MS, ""), &backends.each_ref(), 53, "");
     let mut busy = [node.client(), node.client()];
     busy.iter_mut().for_each(Client::send_correct);
     wait_until(
@@ -477,7 +477,7 @@
     let mut third = node.client();
     third.send(
         "POST /correct/1",
-        &format!("{}Expect: 100-continue\r\nContent-Length: 5\r\n", common_headers(LONG)),
+        &format!("{}Expect: 100-continue\r\nContent-Length: 5\r\n", common_headers(LONG_MS)),
         b"",
     );
     assert_eq!(third.read_line(), "HTTP/1.1 100 Continue\r\n");
@@ -496,7 +496,7 @@
 fn a_node_out_of_descriptors_recovers_when_some_are_free_again() {
     let backend = Backend::start(|_| ok(""));
     let (node, _watch, _discovery) =
-        serving_node_with(&settings(LONG, ""), &[&backend], 1024, "ulimit -n 30; ");
+        serving_node_with(&settings(LONG_MS, ""), &[&backend], 1024, "ulimit -n 30; ");
     let clients: Vec<Client> = (0..60).map(|_| node.client()).collect();
     node.wait_for_log("cannot accept");
     drop(clients);
@@ -505,7 +505,7 @@
 
 #[test]
 fn a_bad_configuration_is_reported_in_one_line() {
-    let good = config("127.0.0.1:1".parse().expect("an address"), &settings(LONG, ""), 1024);
+    let good = config("127.0.0.1:1".parse().expect("an address"), &settings(LONG_MS, ""), 1024);
     let cases = [
         "not JSON".to_owned(),
         "{}".to_owned(),
--- a/tests/races/settings.rs
+++ b/tests/races/settings.rs
@@ -6,7 +6,8 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-const LONG: u64 = 20_000;
+/// A latency target and a budget that no request of these tests exceeds.
+const LONG_MS: u64 = 20_000;
 
 /// A node whose configuration file has been replaced by a pipe, so that a reload reads it only as fast as the
 /// test writes.
@@ -21,7 +22,7 @@
 impl SlowReload {
     fn start() -> Self {
         let backend = Backend::start(|_| ok("fine"));
-        let (node, watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+        let (node, watch, discovery) = serving_node(&settings(LONG_MS, ""), &[&backend]);
         let pipe = node.tmp.join("pipe");
         assert!(Command::new("mkfifo").arg(&pipe).status().expect("mkfifo runs").success());
         rename(&pipe, node.config()).expect("the pipe replaces the file");
@@ -31,7 +32,7 @@
 
     /// The configuration with the class `correct` under another name.
     fn config_with_class(&self, class: &str) -> String {
-        let settings = settings(LONG, "").replace("correct", class);
+        let settings = settings(LONG_MS, "").replace("correct", class);
         with_ops(&config(self.discovery.address, &settings, 1024))
     }
 
@@ -45,7 +46,7 @@
     /// A request is served.
     fn check_served(&self, start_line: &str) {
         assert_eq!(
-            self.node.client().request(start_line, &common_headers(LONG), b"").status(),
+            self.node.client().request(start_line, &common_headers(LONG_MS), b"").status(),
             200,
             "{start_line}"
         );
@@ -68,13 +69,13 @@
     slow.check_served("GET /read/1");
     file.write_all(first.as_bytes()).expect("the node reads it");
     slow.check_served("POST /correct/1");
-    assert_eq!(slow.node.client().request("POST /amend/1", &common_headers(LONG), b"").status(), 404);
+    assert_eq!(slow.node.client().request("POST /amend/1", &common_headers(LONG_MS), b"").status(), 404);
     assert_eq!(slow.node.ops_call("GET /status"), 200);
     file.write_all(rest.as_bytes()).expect("the node reads it");
     drop(file);
     slow.node.wait_for_log("classes are read, submit, amend");
     slow.check_served("POST /amend/1");
-    assert_eq!(slow.node.client().request("POST /correct/1", &common_headers(LONG), b"").status(), 404);
+    assert_eq!(slow.node.client().request("POST /correct/1", &common_headers(LONG_MS), b"").status(), 404);
 }
 
 #[test]
