--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start: the file that `PROXY_CONFIG` names.
+//! A node's configuration, read from the file that `PROXY_CONFIG` names: its validation and its live reload.
 
 mod error;
 mod key_shape;
@@ -8,7 +8,7 @@
 use crate::LEAST_SUBSET;
 use crate::control::server_table::LISTED_SERVER_BYTES;
 use crate::settings::{self, NameTable, SettingsUpdate, SiteSettings, ZonesConfig};
-use key_shape::{Shape, lacks};
+use key_shape::{Shape, missing_key};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
@@ -22,32 +22,33 @@
 
 pub use error::{ConfigError, ConfigFileError};
 
-/// The most bytes of a body that are kept, either way.
+/// The most bytes of a request's or a response's body that are buffered.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
-/// The least connections with which a node can serve.
-const LEAST: usize = 3;
+/// The fewest connections with which a node can serve, clients' and backends' together.
+const MIN_CONNECTIONS: usize = 3;
 
-/// Descriptors for all but connections: standard streams, listener, runtime, discovery, the operators' calls, dials that
-/// end.
+/// File descriptors reserved for everything but proxied connections: standard streams, listener, runtime,
+/// discovery, the admin interface, and connection attempts that are being abandoned.
 pub const RESERVED_SOCKETS: usize = 48;
-/// What a listed server takes of a node's memory at most, in bytes: its places in the module, the pool and the discovery
-/// client, and its part of a list that is being taken in.
+/// Upper bound on a node's memory for each listed server where all are held, in bytes: its entries in the
+/// decision module, the connection pool and the discovery client, and its part of a list that is being
+/// applied.
 pub const HELD_SERVER_BYTES: usize = 1024;
-/// The most that a subset may be, for each ring.
+/// The largest subset that may be configured, in servers of each ring.
 pub const MOST_SUBSET: usize = 16_384;
-/// So many servers may always be listed.
-const SHORT_LIST: usize = 2_000;
-/// Members that are kept, and addresses of nodes that are read.
+/// Lower bound of [`Config::max_listed_servers`], however little memory is configured.
+const MIN_LIST_LIMIT: usize = 2_000;
+/// The most members that a node keeps, and the most peer addresses that a configuration may have.
 pub const MAX_PEERS: usize = hillpick_fleet::MAX_MEMBERS;
 
 #[derive(Deserialize)]
-struct File<'a> {
+struct ConfigFile<'a> {
     #[serde(default)]
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
-    /// Where the operators call; without it nobody does.
+    /// The address of the admin interface; without it there is none.
     #[serde(default)]
     ops: Option<SocketAddr>,
     #[serde(default)]
@@ -60,13 +61,14 @@
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
     peers: Vec<SocketAddr>,
-    /// Membership; without it the node knows the others by number alone.
+    /// Membership; without it the node knows of the other nodes only what the settings say: how many there
+    /// are.
     #[serde(default)]
     fleet: Option<FleetFile>,
-    /// How far the zones are; without it zones are alike.
+    /// Latencies and regions of the zones; without it no zone is preferred over another.
     #[serde(default)]
     zones: Option<ZonesConfig>,
-    /// How much of a long list the node holds; without it all of it.
+    /// How much of a long list the node holds; without it the node holds all listed servers.
     #[serde(default)]
     subset: Option<SubsetFile>,
     #[serde(borrow)]
@@ -83,7 +85,7 @@
 #[serde(deny_unknown_fields)]
 struct FleetFile {
     cluster: String,
-    #[serde(default = "probe_ms")]
+    #[serde(default = "default_probe_ms")]
     probe_ms: u64,
     #[serde(default)]
     advertise: Option<SocketAddrV4>,
@@ -91,25 +93,26 @@
     saved: Option<PathBuf>,
 }
 
-fn probe_ms() -> u64 {
+fn default_probe_ms() -> u64 {
     1000
 }
 
-/// How a node takes part in membership.
+/// Membership's part of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// The cluster's name: others' messages are dropped.
+    /// The cluster's name: messages of other clusters are dropped.
     pub cluster: String,
-    /// How often it probes another.
+    /// The time between two probes that this node sends.
     pub probe_period: Duration,
-    /// Where it hears the others.
+    /// The UDP address on which this node receives membership messages.
     pub listen: SocketAddr,
-    /// The node of each number in the tier, this one's own included; or, where nodes are known by addresses that all see
-    /// alike, some of them, to begin with.
+    /// Without `advertise`: the address of every node, by node number, this node's own included. With it:
+    /// seed addresses, through which the node finds the others.
     pub peers: Vec<SocketAddr>,
-    /// The address by which all others reach this node, where there is one; port 0 stands for the one it hears on.
+    /// The address at which all other nodes reach this one, if they identify each other by address; port 0
+    /// stands for the port of the bound socket.
     pub advertise: Option<SocketAddrV4>,
-    /// Where it keeps its members, so that a start finds them again.
+    /// The file in which the members are persisted, so that the node finds them after a restart.
     pub saved: Option<PathBuf>,
 }
 
@@ -126,76 +129,78 @@
     }
 }
 
-/// A node's configuration, checked.
+/// A validated node configuration.
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The node's name, which stays the same over restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// Where the agent of discovery listens.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Where the operators call, if they do.
+    /// The address of the admin interface, if there is one.
     pub ops: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
     /// The most client connections.
     pub max_client_connections: usize,
     /// The most connections to backends.
     pub max_backend_connections: usize,
-    /// How much of clients' bodies may be kept at a time.
+    /// The most KiB of request bodies that are buffered at a time.
     pub body_buffer_kib: usize,
-    /// The most servers in a list: half of the memory, at [`HELD_SERVER_BYTES`] each, or [`LISTED_SERVER_BYTES`] where a subset is held.
+    /// The most servers in a list: half of the memory, at [`HELD_SERVER_BYTES`] each, or
+    /// [`LISTED_SERVER_BYTES`] where a subset is held.
     pub max_listed_servers: usize,
-    /// How many servers of each ring the node holds, if it does not hold all.
+    /// How many servers of each ring the node holds, if it holds a subset.
     pub subset: Option<usize>,
-    /// The list of backends as this node last had it: discovery's JSON, perhaps old. Large; whoever keeps the
-    /// configuration gives it up by [`Config::without_known_list`] once discovery has it.
+    /// The list of backends as this node last had it: discovery's JSON, possibly out of date. It may be
+    /// large, so whoever keeps the configuration drops it by [`Config::without_known_list`] once discovery
+    /// has it.
     pub known_list: Option<String>,
     /// Membership, if the node takes part in it.
     pub fleet: Option<FleetConfig>,
-    /// Zones and regions, if the node goes by them.
+    /// Zones and regions, if the node routes by them.
     pub zones: Option<ZonesConfig>,
     /// The settings.
     pub site: Arc<SiteSettings>,
-    /// The keys of the file without the list: a later one has to hold what this one holds.
+    /// The keys of the file, apart from the server list: a reloaded file has to have all of them.
     shape: Shape,
 }
 
-/// The settings in force. All parts of the node share them, so that they change for all at once.
+/// Shared handle to the settings in force: a reload replaces them for all parts of the node at once.
 #[derive(Clone)]
 pub struct LiveSettings(Rc<RefCell<Arc<SiteSettings>>>);
 
 impl LiveSettings {
-    /// Settings to begin with.
+    /// A handle to the settings that the node starts with.
     pub fn new(site: Arc<SiteSettings>) -> Self {
         LiveSettings(Rc::new(RefCell::new(site)))
     }
 
-    /// The settings that hold now.
+    /// The settings in force now.
     pub fn get(&self) -> Arc<SiteSettings> {
         self.0.borrow().clone()
     }
 
-    /// Replaces them for all parts at once.
+    /// Replaces the settings for all holders of the handle.
     pub fn set(&self, site: Arc<SiteSettings>) {
         *self.0.borrow_mut() = site;
     }
 }
 
 impl Config {
-    /// Reads the file that `PROXY_CONFIG` names. The other `PROXY_` variables say nothing that it does not.
+    /// Reads the file that `PROXY_CONFIG` names. The other `PROXY_` variables only repeat what stands in it.
     pub fn from_env() -> Result<Self, ConfigFileError> {
         Config::read(|_| Ok(()))
     }
 
-    /// How long the file is that `PROXY_CONFIG` names, in bytes: for a short one a thread of its own is not worth while.
-    /// `None` if that can't be told, as of a pipe; reading it may take any time.
+    /// The length of the file that `PROXY_CONFIG` names, in bytes: a short one need not be read on a thread
+    /// of its own. `None` if it is not a regular file, such as a pipe, whose reading may take any time.
     pub fn file_length() -> Option<u64> {
         let path = std::env::var_os("PROXY_CONFIG")?;
-        std::fs::metadata(path).ok().filter(|about| about.is_file()).map(|about| about.len())
+        std::fs::metadata(path).ok().filter(|metadata| metadata.is_file()).map(|metadata| metadata.len())
     }
 
-    /// The same without the list of backends that it brought.
+    /// The same configuration without its list of backends, which frees that memory.
     pub fn without_known_list(self) -> Self {
         Config { known_list: None, ..self }
     }
@@ -207,61 +212,65 @@
             Err(source) => return Err(ConfigFileError::Unreadable { path, source }),
         };
         let checked = Config::parse(&text).and_then(|mut new| check(&mut new).map(|()| new));
-        let folded = checked.map(|mut new| {
-            new.shape.fold();
+        let compacted = checked.map(|mut new| {
+            new.shape.compact();
             new
         });
-        folded.map_err(|problem| ConfigFileError::Bad { path, problem })
+        compacted.map_err(|problem| ConfigFileError::Bad { path, problem })
     }
 
-    /// Reads it again for a node that runs with this one. Only settings and the address of discovery may have
-    /// changed; the rest is as it was until the next start. With what the node has to know of the change. A large file
-    /// takes a while: such a one is read on a thread of its own.
+    /// Reads and validates the file again for a node that runs with this configuration (live reload), and
+    /// returns it with the update for the decision module. Only the settings and the address of discovery
+    /// take effect; all other changes wait for the next start. A large file takes long to read and check:
+    /// call this on a thread of its own.
     ///
     /// # Errors
-    /// If it can't be read, is no configuration that a node could run with, or none that can follow this one.
+    /// If the file can't be read, is not a valid configuration, or can't replace the running one.
     pub fn reload(&self) -> Result<(Self, SettingsUpdate), ConfigFileError> {
-        let new = Config::read(|new| new.replaces(self))?.without_known_list();
-        let replacement = SettingsUpdate::new(new.site.clone(), &self.site);
-        Ok((new, replacement))
+        let new = Config::read(|new| new.prepare_reload(self))?.without_known_list();
+        let update = SettingsUpdate::new(new.site.clone(), &self.site);
+        Ok((new, update))
     }
 
-    fn replaces(&mut self, running: &Config) -> Result<(), ConfigError> {
-        lacks(&running.shape, &self.shape, "").map_or(Ok(()), Err)?;
+    /// Checks that this configuration can replace the running one, and gives zones and host types the numbers
+    /// that they have there.
+    fn prepare_reload(&mut self, running: &Config) -> Result<(), ConfigError> {
+        missing_key(&running.shape, &self.shape, "").map_or(Ok(()), Err)?;
         if self.site.settings.list_on_request != running.site.settings.list_on_request {
-            return Err(ConfigError::RegistryMode);
+            return Err(ConfigError::RegistryModeChanged);
         }
-        let site = Arc::make_mut(&mut self.site); // nobody else has it yet, so that nothing is copied
+        let site = Arc::make_mut(&mut self.site); // the only reference so far, so nothing is copied
         site.keep_numbering(&running.site);
         site.settings.zones = self.zones.as_ref().map(|zones| zones.to_zones(&site.zone_names));
         Ok(())
     }
 
-    /// Reads and checks the text of a configuration.
+    /// Parses and validates the text of a configuration.
     ///
     /// # Errors
-    /// If it is no configuration that a node could run with; the error names the place and what was expected.
+    /// If it is not a configuration that a node can run with; the error names the key or position and what
+    /// was expected.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        let file: File = serde_json::from_str(text).map_err(|e| ConfigError::form(text, 0, &e))?;
+        let file: ConfigFile = serde_json::from_str(text).map_err(|e| ConfigError::syntax(text, 0, &e))?;
         let seed = match file.seed.as_str() {
             "" => 0,
             seed => u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Seed(seed.into()))?,
         };
-        let raw = file.settings.get();
+        let settings_text = file.settings.get();
         let mut site =
-            settings::parse(raw.as_bytes()).map_err(|problem| match &problem {
+            settings::parse(settings_text.as_bytes()).map_err(|problem| match &problem {
                 settings::SettingsError::Syntax(error) => ConfigError::InSettings(Box::new(
-                    ConfigError::form(text, text.find(raw).unwrap_or_default(), error),
+                    ConfigError::syntax(text, text.find(settings_text).unwrap_or_default(), error),
                 )),
                 _ => problem.into(),
             })?;
         let zones = match file.zones {
             Some(zones) => Some(zones),
-            None => from_env::<ZonesConfig>("SILLWARD_ZONES")?,
+            None => object_from_env::<ZonesConfig>("SILLWARD_ZONES")?,
         };
         zones.as_ref().map_or(Ok(()), ZonesConfig::validate)?;
         site.settings.zones = zones.as_ref().map(|zones| zones.to_zones(&site.zone_names));
-        // Two numbers would mean the same class or tenant if a name stood twice.
+        // A duplicate name would give one class, tenant or zone two numbers.
         let mut zone_names = NameTable::default();
         for name in &site.zone_names {
             zone_names.push(name).map_err(ConfigError::ZoneNames)?;
@@ -270,13 +279,13 @@
             [("Classes", &site.class_names), ("Projects", &site.tenant_names), ("Localities", &zone_names)]
         {
             if let Some(problem) = names.error() {
-                return Err(ConfigError::name(key, names, problem));
+                return Err(ConfigError::invalid_name(key, names, problem));
             }
         }
         for (class, name) in site.settings.classes.iter().zip(site.class_names.iter()) {
             for (key, time) in [("GiveUp", class.deadline), ("Target", class.latency_target)] {
                 if time.is_zero() {
-                    return Err(ConfigError::Time { name: name.to_owned(), key });
+                    return Err(ConfigError::ZeroTime { name: name.to_owned(), key });
                 }
             }
         }
@@ -285,27 +294,28 @@
         }
         let subset = match file.subset {
             Some(subset) => Some(subset),
-            None => from_env::<SubsetFile>("SILLWARD_SUBSET")?,
+            None => object_from_env::<SubsetFile>("SILLWARD_SUBSET")?,
         };
         let subset = subset.map(|subset| subset.servers);
         if let Some(servers) = subset.filter(|servers| !(LEAST_SUBSET..=MOST_SUBSET).contains(servers)) {
-            return Err(ConfigError::Subset(servers));
+            return Err(ConfigError::SubsetOutOfRange(servers));
         }
         let server_bytes = if subset.is_some() { LISTED_SERVER_BYTES } else { HELD_SERVER_BYTES };
-        let wanted = match file.fleet {
+        let fleet_file = match file.fleet {
             Some(fleet) => Some(fleet),
             None if site.peer_messages && file.peer_listen.is_some() => {
-                from_env::<FleetFile>("SILLWARD_FLEET")?
+                object_from_env::<FleetFile>("SILLWARD_FLEET")?
             }
             None => None,
         };
-        let fleet = wanted.map(|fleet| self::fleet(fleet, &file.name, file.peer_listen, file.peers, &site));
+        let fleet = fleet_file
+            .map(|fleet| self::validate_fleet(fleet, &file.name, file.peer_listen, file.peers, &site));
         let fleet = fleet.transpose()?;
-        let mut shape: Shape = serde_json::from_str(text).map_err(|e| ConfigError::form(text, 0, &e))?;
-        shape.forget("known");
+        let mut shape: Shape = serde_json::from_str(text).map_err(|e| ConfigError::syntax(text, 0, &e))?;
+        shape.remove_key("known");
         let connections = file.limits.sockets.saturating_sub(RESERVED_SOCKETS);
-        if connections < LEAST {
-            return Err(ConfigError::Sockets(file.limits.sockets));
+        if connections < MIN_CONNECTIONS {
+            return Err(ConfigError::TooFewSockets(file.limits.sockets));
         }
         Ok(Config {
             name: file.name,
@@ -313,15 +323,15 @@
             discovery: file.discovery,
             ops: file.ops,
             seed,
-            // Clients hold a third of all descriptors for requests, and each of these wants one to a backend,
-            // sometimes a second; the rest is for clients that ask nothing.
+            // A third of all descriptors is for clients with a request in flight. Each such request needs one
+            // connection to a backend, sometimes a second. The rest is for idle clients.
             max_client_connections: connections - connections * 2 / 5,
             max_backend_connections: connections * 2 / 5,
-            // A quarter of the memory; one body at least, or nobody would ever be read.
+            // A quarter of the memory, but room for at least one body, or no body could ever be read.
             body_buffer_kib: (file.limits.memory_mb.saturating_mul(1024) / 4)
                 .clamp(MAX_BUFFERED_BODY_BYTES / 1024, Semaphore::MAX_PERMITS),
             max_listed_servers: (file.limits.memory_mb.saturating_mul(1 << 20) / 2 / server_bytes)
-                .max(SHORT_LIST),
+                .max(MIN_LIST_LIMIT),
             subset,
             known_list: file.known.map(|known| known.get().to_owned()),
             fleet,
@@ -332,17 +342,19 @@
     }
 }
 
-/// An object of the configuration that stands in the environment, for nodes whose configuration is written by somebody who
-/// knows nothing of it: `SILLWARD_FLEET` holds where the file has no `fleet` and allows messages between nodes,
-/// `SILLWARD_ZONES` where it has no `zones`, `SILLWARD_SUBSET` where it has no `subset`.
-fn from_env<T: DeserializeOwned>(name: &'static str) -> Result<Option<T>, ConfigError> {
+/// Reads an object of the configuration from an environment variable, for deployments whose configuration
+/// file is generated without these keys: `SILLWARD_FLEET` applies where the file has no `fleet` and allows
+/// messages between nodes, `SILLWARD_ZONES` where it has no `zones`, `SILLWARD_SUBSET` where it has no
+/// `subset`.
+fn object_from_env<T: DeserializeOwned>(name: &'static str) -> Result<Option<T>, ConfigError> {
     let Some(text) = std::env::var_os(name) else { return Ok(None) };
     let parsed = serde_json::from_str(&text.to_string_lossy());
     parsed.map(Some).map_err(|source| ConfigError::Environment { name, source })
 }
 
-/// Membership, if all that it needs is there and the settings allow it.
-fn fleet(
+/// Validates membership's part of the configuration: its values are in range, the keys that it needs are
+/// there, and the settings permit messages between nodes.
+fn validate_fleet(
     file: FleetFile,
     name: &str,
     listen: Option<SocketAddr>,
@@ -350,27 +362,27 @@
     site: &SiteSettings,
 ) -> Result<FleetConfig, ConfigError> {
     if !site.peer_messages {
-        return Err(ConfigError::Forbidden);
+        return Err(ConfigError::PeerMessagesForbidden);
     }
     if hillpick_fleet::Name::try_from(name.to_string()).is_err() {
         return Err(ConfigError::FleetName(name.into()));
     }
     if !(100..=60_000).contains(&file.probe_ms) {
-        return Err(ConfigError::ProbeMs(file.probe_ms));
+        return Err(ConfigError::ProbePeriodOutOfRange(file.probe_ms));
     }
     let node = site.settings.node as usize;
     let count = peers.len();
     if file.advertise.is_some() {
         if let Some(peer) = peers.iter().find(|peer| !peer.is_ipv4()) {
-            return Err(ConfigError::Peer(*peer));
+            return Err(ConfigError::PeerNotIpv4(*peer));
         }
         if count > MAX_PEERS {
-            return Err(ConfigError::ManyPeers(count));
+            return Err(ConfigError::TooManyPeers(count));
         }
     } else if node >= count || count > MAX_PEERS {
-        return Err(ConfigError::FewPeers { count, node });
+        return Err(ConfigError::PeerCount { count, node });
     }
-    let listen = listen.ok_or(ConfigError::NoPeerListen)?;
+    let listen = listen.ok_or(ConfigError::MissingPeerListen)?;
     Ok(FleetConfig {
         cluster: file.cluster,
         probe_period: Duration::from_millis(file.probe_ms),
--- a/src/control/config/error.rs
+++ b/src/control/config/error.rs
@@ -1,176 +1,183 @@
-//! What can be wrong with a configuration, each with what an operator can do.
+//! Configuration errors: each names the key or the position, the value that stands there and what was
+//! expected.
 
-use super::{LEAST, MAX_PEERS, MOST_SUBSET, RESERVED_SOCKETS};
+use super::{MAX_PEERS, MIN_CONNECTIONS, MOST_SUBSET, RESERVED_SOCKETS};
 use crate::LEAST_SUBSET;
 use crate::settings::{self, NameError, NameTable, TooManyNames};
 use std::fmt::Display;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// So many names stand in an error; of more only the first ones do.
+/// The most names that an error message lists; of more it gives the first ones and the number of the others.
 const NAMES_SHOWN: usize = 8;
 
-/// Why there is no configuration. One line, whatever stands in the file.
+/// Why no configuration could be had from its file. The message is one line, whatever stands in the file.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
-    /// Nothing names the file: set the variable.
+    /// The environment variable that names the file is not set.
     #[error("bad configuration: PROXY_CONFIG is not set: expected the path of a JSON file")]
     NotNamed,
-    /// The file can't be read: look at its path and rights.
+    /// The file can't be read: check its path and permissions.
     #[error("bad configuration: cannot read {}: {source}", one_line(path.display()))]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The thread that reads it has ended before it was done: send SIGHUP again.
+    /// The thread that reads the file ended before it was done: send SIGHUP again.
     #[error("bad configuration: the reading of the file broke off: {0}")]
     ReadAborted(String),
-    /// What stands in it is no good.
+    /// The file's content is not a usable configuration.
     #[error("bad configuration: {}: {}", one_line(path.display()), one_line(problem))]
     Bad {
         /// The file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// What is wrong with the content.
         problem: ConfigError,
     },
 }
 
-/// What is wrong in a configuration: what stands where, and what was expected. `docs/operations.md` says what to do.
+/// What is wrong in a configuration. `docs/operations.md` lists the messages and the remedy for each.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It is no JSON, or a key is missing or of another kind.
+    /// The text is not valid JSON, or a key is missing or has a value of the wrong type.
     #[error("{what} at line {line} column {column}{}", expected(what))]
-    Form {
+    Syntax {
         /// The line in the file, from 1.
         line: usize,
         /// The column in that line, from 1.
         column: usize,
-        /// The parser's words.
+        /// The parser's message, without the position.
         what: String,
     },
-    /// The same within `settings`; the place is that in the whole file.
+    /// The same within `settings`; line and column are those of the whole file.
     #[error("bad settings: {0}")]
     InSettings(Box<ConfigError>),
-    /// The settings in it, or its zones.
+    /// The settings or the zones have invalid values.
     #[error(transparent)]
     Settings(#[from] settings::SettingsError),
-    /// An object in the environment.
+    /// An environment variable does not hold a valid object.
     #[error("{name}: {source}; expected an object as in the configuration")]
     Environment {
         /// The variable.
         name: &'static str,
-        /// The parser's words.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// The seed is no hexadecimal number.
+    /// The seed is not a hexadecimal number of 64 bits.
     #[error("seed: {0:?}: expected up to 16 hexadecimal digits")]
     Seed(String),
-    /// Two numbers would mean the same.
+    /// A name is empty, or is a duplicate: two numbers would mean the same class, tenant or zone.
     #[error("{key}: a name is empty or stands twice in {names}: {which}; expected each once")]
-    Name {
-        /// The key whose names they are.
+    InvalidName {
+        /// The key below which the names stand.
         key: &'static str,
-        /// The names, of many the first ones.
+        /// The names, or the first ones of many.
         names: String,
-        /// The name and its places, from 0.
+        /// The invalid name and its indices, from 0.
         which: String,
     },
-    /// The names of the zones can't be numbered.
+    /// The names of the zones are too long in all for a table of names.
     #[error("Localities: {0}")]
     ZoneNames(#[source] TooManyNames),
-    /// A class whose requests could never be answered.
+    /// A class has a deadline or latency target of 0, so that its requests could never be answered in time.
     #[error("class {name}: {key} is not over 0; expected a time in ms")]
-    Time {
+    ZeroTime {
         /// The class.
         name: String,
-        /// The key of its time.
+        /// The key of the time.
         key: &'static str,
     },
-    /// No request could be sent at all.
+    /// No attempt is permitted, so that no request could be sent to a server.
     #[error("Permissions.AttemptsCap = 0: attempts are not over 0; expected 1 or more")]
     NoAttempts,
-    /// The node could not hold a client and a backend at once.
-    #[error("limits.sockets = {0}: too few sockets; expected {least} or more", least = RESERVED_SOCKETS + LEAST)]
-    Sockets(usize),
-    /// The part of a ring that is held is too small to choose from, or too large for what it is for: give another.
+    /// Too few sockets are left to connect to a client and a backend at once.
+    #[error(
+        "limits.sockets = {0}: too few sockets; expected {least} or more",
+        least = RESERVED_SOCKETS + MIN_CONNECTIONS
+    )]
+    TooFewSockets(usize),
+    /// The subset is too small to select servers from, or too large to save memory.
     #[error("subset.servers = {0}: expected {LEAST_SUBSET} to {MOST_SUBSET}")]
-    Subset(usize),
-    /// Membership needs messages between nodes.
+    SubsetOutOfRange(usize),
+    /// Membership is configured, but the settings forbid the messages between nodes that it needs.
     #[error(
         "fleet: the settings forbid messages between nodes (Permissions.Peers); expected no fleet, or true there"
     )]
-    Forbidden,
-    /// The name does not fit into a datagram.
+    PeerMessagesForbidden,
+    /// The node's name can't be sent in a membership datagram.
     #[error("fleet: the name {0:?}: expected 1 to 24 visible ASCII characters")]
     FleetName(String),
-    /// The period of probes is out of its bounds.
+    /// The probe period is out of range.
     #[error("fleet.probe_ms = {0}: expected 100 to 60000")]
-    ProbeMs(u64),
-    /// Members of one cluster are all reached in the same way.
+    ProbePeriodOutOfRange(u64),
+    /// `fleet.advertise` is set, and a peer's address is not IPv4: members of one cluster all use the same
+    /// kind of address.
     #[error("fleet: the peer {0}: expected an IPv4 address, as fleet.advertise is one")]
-    Peer(SocketAddr),
-    /// More peers than membership is built for.
+    PeerNotIpv4(SocketAddr),
+    /// There are more peers than membership supports.
     #[error("fleet: {0} peers: expected {MAX_PEERS} at most")]
-    ManyPeers(usize),
-    /// This node, or another, has no address.
+    TooManyPeers(usize),
+    /// Without `fleet.advertise`: there is no address for this node's number, or there are too many
+    /// addresses.
     #[error(
         "fleet: {count} peers: expected an address for each node up to this one's number, {node}, and {MAX_PEERS} at most"
     )]
-    FewPeers {
+    PeerCount {
         /// How many addresses there are.
         count: usize,
         /// This node's number.
         node: usize,
     },
-    /// Nobody could reach this node.
-    #[error("fleet: peer_listen is missing; expected the address where this node hears the others")]
-    NoPeerListen,
-    /// A file that was written or copied by halves looks so.
+    /// Membership has no address to listen on, so that no other node could reach this one.
+    #[error("fleet: peer_listen is missing; expected the address on which this node receives peer messages")]
+    MissingPeerListen,
+    /// A reloaded file lacks a key of the running configuration, as a partly written or copied file does.
     #[error("{0} is missing, which the running configuration has; expected all of its keys")]
-    Missing(String),
-    /// A key has another kind of value than before.
+    MissingKey(String),
+    /// A key that held an object or a list in the running configuration holds another kind of value.
     #[error("{0} is no longer what it was; expected an object or a list, as the running configuration has")]
-    OtherKind(String),
-    /// Watching and asking are set up at the start.
+    DifferentKind(String),
+    /// Whether the node watches discovery or asks it on request is decided at the start.
     #[error(
-        "RegistryMode: how the list is had can't change while the node runs; expected it as it was, or a new start"
+        "RegistryMode: how the list is had can't change while the node runs; expected its value at the start, or a restart"
     )]
-    RegistryMode,
+    RegistryModeChanged,
 }
 
 impl ConfigError {
-    /// What is wrong with the names below a key. Of many names the first ones are told, and how many there are.
-    pub(super) fn name(key: &'static str, names: &NameTable, problem: NameError) -> Self {
+    /// The error for an invalid name below a key. Lists the first names, and how many more there are.
+    pub(super) fn invalid_name(key: &'static str, names: &NameTable, problem: NameError) -> Self {
         let shown: Vec<_> = names.iter().take(NAMES_SHOWN).collect();
         let rest = names.len() - shown.len();
         let rest = if rest > 0 { format!(" and {rest} more") } else { String::new() };
         let which = match problem {
-            NameError::Empty { index: place } => format!("the one at {place} is empty"),
+            NameError::Empty { index } => format!("the one at {index} is empty"),
             NameError::Duplicate { first, second } => {
                 format!("{:?} at {first} and {second}", names.get(second).unwrap_or_default())
             }
         };
-        ConfigError::Name { key, names: format!("{shown:?}{rest}"), which }
+        ConfigError::InvalidName { key, names: format!("{shown:?}{rest}"), which }
     }
 
-    /// What the parser says of a text that begins at `start` of the file.
-    pub(super) fn form(file: &str, start: usize, error: &serde_json::Error) -> Self {
+    /// The parser's error for a part of the file that begins at byte `start`, with the position in the whole
+    /// file.
+    pub(super) fn syntax(file: &str, start: usize, error: &serde_json::Error) -> Self {
         let before = file.get(..start).unwrap_or_default();
-        let on_line =
+        let column_offset =
             if error.line() > 1 { 0 } else { before.len() - before.rfind('\n').map_or(0, |at| at + 1) };
-        let (text, place) =
+        let (message, position) =
             (error.to_string(), format!(" at line {} column {}", error.line(), error.column()));
-        ConfigError::Form {
+        ConfigError::Syntax {
             line: before.matches('\n').count() + error.line(),
-            column: on_line + error.column(),
-            what: text.strip_suffix(&place).unwrap_or(&text).to_owned(),
+            column: column_offset + error.column(),
+            what: message.strip_suffix(&position).unwrap_or(&message).to_owned(),
         }
     }
 }
 
-/// What was expected, where the parser does not say.
+/// What was expected, where the parser's message does not say it.
 fn expected(what: &str) -> &'static str {
     match what {
         _ if what.contains("socket address") => "; expected an address and a port, such as 127.0.0.1:8080",
@@ -179,7 +186,8 @@
     }
 }
 
-/// Names and values come from the file; none of them begins a new line of the log.
+/// Replaces control characters: names and values come from the file, and must not begin a new line of the
+/// log.
 fn one_line(text: impl Display) -> String {
     text.to_string().chars().map(|c| if c.is_control() { ' ' } else { c }).collect()
 }
--- a/src/control/config/key_shape.rs
+++ b/src/control/config/key_shape.rs
@@ -1,5 +1,6 @@
-//! Which keys a configuration has, without its values: so much is kept of the running one, since a file that lacks some
-//! of them looks written or copied by halves.
+//! Schema comparison for a live reload: which keys a configuration has, without their values. The keys of the
+//! running configuration are kept, because a new file that lacks some of them was probably written or copied
+//! only in part.
 
 use super::ConfigError;
 use serde::de::{MapAccess, SeqAccess, Visitor};
@@ -7,87 +8,91 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// The keys of a JSON text. It grows with how many kinds of entries a text has, and not with their count.
+/// The schema of a JSON value: its keys, without the values. Its size grows with the number of different
+/// schemas among the elements of an array, not with the number of elements.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Shape {
     /// `null`, which may be left out.
     Null,
-    /// A text, a number or a truth value.
+    /// A string, a number or a boolean.
     Scalar,
     /// An object, by its keys.
     Object(BTreeMap<Box<str>, Shape>),
-    /// An array: the different shapes of its elements, each with the place of the first one that has it, in their order.
+    /// An array: the different schemas of its elements, each with the index of the first element that has it,
+    /// in order of that index.
     Array(Vec<(usize, Shape)>),
 }
 
 impl Shape {
-    /// Forgets a key of an object.
-    pub(super) fn forget(&mut self, key: &str) {
+    /// Removes a key of an object, with all below it.
+    pub(super) fn remove_key(&mut self, key: &str) {
         if let Shape::Object(keys) = self {
             keys.remove(key);
         }
     }
 
-    /// Keeps of each array only what a later one is compared with: the keys that all its elements have.
-    pub(super) fn fold(&mut self) {
+    /// Reduces each array to the one schema that a later array's elements are compared with: the keys that
+    /// all its elements have.
+    pub(super) fn compact(&mut self) {
         match self {
             Shape::Null | Shape::Scalar => {}
-            Shape::Object(keys) => keys.values_mut().for_each(Shape::fold),
+            Shape::Object(keys) => keys.values_mut().for_each(Shape::compact),
             Shape::Array(elements) => {
-                let folded = common(elements).map(|mut shape| {
-                    shape.fold();
+                let compacted = shared_keys(elements).map(|mut shape| {
+                    shape.compact();
                     (0, shape)
                 });
-                *elements = folded.into_iter().collect();
+                *elements = compacted.into_iter().collect();
             }
         }
     }
 }
 
-/// What all elements of an array have: the first one, without the keys that another lacks.
-fn common(elements: &[(usize, Shape)]) -> Option<Shape> {
+/// The schema that all elements of an array share: the first element's, without the keys that another lacks.
+fn shared_keys(elements: &[(usize, Shape)]) -> Option<Shape> {
     let ((_, first), rest) = elements.split_first()?;
-    let mut common = first.clone();
-    if let Shape::Object(common) = &mut common {
+    let mut shared = first.clone();
+    if let Shape::Object(shared) = &mut shared {
         for (_, other) in rest {
             if let Shape::Object(other) = other {
-                common.retain(|key, _| other.contains_key(key));
+                shared.retain(|key, _| other.contains_key(key));
             }
         }
     }
-    Some(common)
+    Some(shared)
 }
 
-/// The first key of the running configuration that a new one is short of: that is how a file looks which was
-/// written or copied by halves. Elements of an array, like the classes, need what all of them had.
-pub(super) fn lacks(running: &Shape, new: &Shape, path: &str) -> Option<ConfigError> {
+/// The error for the first key of the running configuration that the new one lacks, as a partly written or
+/// copied file does. Each element of an array, such as a class, needs the keys that all elements of the
+/// running array have.
+pub(super) fn missing_key(running: &Shape, new: &Shape, path: &str) -> Option<ConfigError> {
     match (running, new) {
         (Shape::Object(running), Shape::Object(new)) => running.iter().find_map(|(key, value)| {
             let path = format!("{path}/{key}");
             match new.get(key) {
-                None | Some(Shape::Null) if *value != Shape::Null => Some(ConfigError::Missing(path)),
-                Some(new) => lacks(value, new, &path),
+                None | Some(Shape::Null) if *value != Shape::Null => Some(ConfigError::MissingKey(path)),
+                Some(new) => missing_key(value, new, &path),
                 None => None,
             }
         }),
         (Shape::Array(running), Shape::Array(new)) => {
-            let common = common(running)?;
-            new.iter().find_map(|(place, new)| lacks(&common, new, &format!("{path}/{place}")))
+            let shared = shared_keys(running)?;
+            new.iter().find_map(|(index, new)| missing_key(&shared, new, &format!("{path}/{index}")))
         }
-        (Shape::Object(_) | Shape::Array(_), _) => Some(ConfigError::OtherKind(path.into())),
+        (Shape::Object(_) | Shape::Array(_), _) => Some(ConfigError::DifferentKind(path.into())),
         _ => None,
     }
 }
 
 impl<'de> Deserialize<'de> for Shape {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_any(Reader)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_any(ShapeVisitor)
     }
 }
 
-struct Reader;
+struct ShapeVisitor;
 
-impl<'de> Visitor<'de> for Reader {
+impl<'de> Visitor<'de> for ShapeVisitor {
     type Value = Shape;
 
     fn expecting(&self, out: &mut fmt::Formatter) -> fmt::Result {
@@ -119,13 +124,13 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<Shape, A::Error> {
-        let (mut first, mut place) = (HashMap::new(), 0);
+        let (mut first_index, mut index) = (HashMap::new(), 0);
         while let Some(shape) = entries.next_element::<Shape>()? {
-            first.entry(shape).or_insert(place);
-            place += 1;
+            first_index.entry(shape).or_insert(index);
+            index += 1;
         }
-        let mut elements: Vec<_> = first.into_iter().map(|(shape, place)| (place, shape)).collect();
-        elements.sort_by_key(|(place, _)| *place);
+        let mut elements: Vec<_> = first_index.into_iter().map(|(shape, index)| (index, shape)).collect();
+        elements.sort_by_key(|(index, _)| *index);
         Ok(Shape::Array(elements))
     }
 
--- a/src/control/config/tests.rs
+++ b/src/control/config/tests.rs
@@ -1,4 +1,4 @@
-//! What a configuration has to be, and what is said of one that is not.
+//! Configuration validation, the error messages, and the schema comparison at a live reload.
 
 use super::*;
 use proptest::collection::{hash_map, vec};
@@ -13,13 +13,14 @@
     "Classes": [{"Name": "read", "Target": 1, "GiveUp": 2, "Idempotency": "free", "Credit": 1},
                 {"Name": "submit", "Target": 1, "GiveUp": 2, "Idempotency": "guarded", "Credit": 1, "Window": 9}]}}"#;
 
-fn replaced(by: &str) -> Result<Arc<SiteSettings>, ConfigError> {
-    let mut new = Config::parse(by)?;
-    new.replaces(&Config::parse(RUNNING).expect("good")).map(|()| new.site)
+/// The settings after a reload of [`RUNNING`] with this text.
+fn reloaded(text: &str) -> Result<Arc<SiteSettings>, ConfigError> {
+    let mut new = Config::parse(text)?;
+    new.prepare_reload(&Config::parse(RUNNING).expect("good")).map(|()| new.site)
 }
 
 #[test]
-fn a_file_by_halves_or_with_figures_that_make_no_sense_is_not_taken() {
+fn a_reload_refuses_incomplete_files_and_invalid_values() {
     let cases = [
         ("", "", "EOF"),
         (r#""Window": 9}]}}"#, r#""Window": 9}]"#, "EOF"),
@@ -39,30 +40,31 @@
         (r#""Name": "submit""#, r#""Name": "read""#, "stands twice"),
     ];
     for (old, new, expected) in cases {
-        let by = if old.is_empty() { String::new() } else { RUNNING.replacen(old, new, 1) };
-        let why = replaced(&by).expect_err(new).to_string();
-        assert!(why.contains(expected), "{new}: {why}");
+        let text = if old.is_empty() { String::new() } else { RUNNING.replacen(old, new, 1) };
+        let message = reloaded(&text).expect_err(new).to_string();
+        assert!(message.contains(expected), "{new}: {message}");
     }
 }
 
 #[test]
-fn zones_and_kinds_keep_their_numbers_and_no_list_is_wanted() {
-    let by = RUNNING.replace(r#""known": {"endpoints": []},"#, "").replace(r#"["a", "b"]"#, r#"["c", "b"]"#);
-    let site = replaced(&by.replace(r#"["m", "n"]"#, r#"["n"]"#)).expect("good");
+fn a_reload_keeps_zone_and_host_type_numbers_and_needs_no_server_list() {
+    let text =
+        RUNNING.replace(r#""known": {"endpoints": []},"#, "").replace(r#"["a", "b"]"#, r#"["c", "b"]"#);
+    let site = reloaded(&text.replace(r#"["m", "n"]"#, r#"["n"]"#)).expect("good");
     assert_eq!((&site.zone_names[..], site.settings.zone), (&["a", "b", "c"].map(String::from)[..], 1));
     assert_eq!(site.kind_names, ["m", "n"]);
 }
 
 #[test]
-fn a_class_of_another_effect_needs_what_all_classes_have() {
+fn an_added_class_needs_only_the_keys_that_all_classes_have() {
     let added = r#""Classes": [{"Name": "correct", "Target": 1, "GiveUp": 2, "Idempotency": "single_shot", "Credit": 2},"#;
-    let site = replaced(&RUNNING.replace(r#""Classes": ["#, added)).expect("good");
+    let site = reloaded(&RUNNING.replace(r#""Classes": ["#, added)).expect("good");
     assert_eq!(site.class_names, ["correct", "read", "submit"]);
 }
 
-/// What stands where, and what was expected, on one line.
+/// A message of more than one line would break the log.
 #[test]
-fn each_problem_says_what_where_and_what_was_expected() {
+fn each_error_says_on_one_line_what_stands_where_and_what_was_expected() {
     let cases = [
         (
             r#""sockets": 512"#,
@@ -108,72 +110,75 @@
     ];
     for (old, new, expected) in cases {
         assert!(RUNNING.contains(old), "{old}");
-        let problem = replaced(&RUNNING.replacen(old, new, 1)).expect_err(new);
-        let why = ConfigFileError::Bad { path: "n0.json".into(), problem }.to_string();
-        assert!(why.starts_with("bad configuration: n0.json: ") && why.contains(expected), "{new}: {why}");
-        assert!(!why.contains('\n'), "on one line: {why:?}");
+        let problem = reloaded(&RUNNING.replacen(old, new, 1)).expect_err(new);
+        let message = ConfigFileError::Bad { path: "n0.json".into(), problem }.to_string();
+        assert!(
+            message.starts_with("bad configuration: n0.json: ") && message.contains(expected),
+            "{new}: {message}"
+        );
+        assert!(!message.contains('\n'), "on one line: {message:?}");
     }
 }
 
 // ---- Many classes and tenants ---------------------------------------------------------------------
 
-/// Comparing each name with all before it would be 80,000,000,000 comparisons.
-const MANY: usize = 400_000;
+/// Comparing each name with all before it would take 80,000,000,000 comparisons.
+const MANY_ENTRIES: usize = 400_000;
 
-/// The running configuration with many classes and tenants, and these tenants after them.
-fn many(added: &str) -> String {
+/// [`RUNNING`] with many classes and tenants, and the tenants `added` after them.
+fn with_many_entries(added: &str) -> String {
     let class =
         |i: usize| format!(r#"{{"Name":"r-{i}","Target":1,"GiveUp":2,"Idempotency":"free","Credit":1}},"#);
     let tenant = |i: usize| format!(r#"{{"Name":"t-{i}","AllowancePerS":1,"Share":0.5}},"#);
-    let classes: String = (0..MANY).map(class).collect();
-    let tenants: String = (0..MANY).map(tenant).collect();
+    let classes: String = (0..MANY_ENTRIES).map(class).collect();
+    let tenants: String = (0..MANY_ENTRIES).map(tenant).collect();
     let with_tenants = format!(r#""settings": {{"Projects": [{tenants}{added}],"#);
     let with_classes = format!(r#""Classes": [{classes}"#);
     RUNNING.replace(r#""settings": {"#, &with_tenants).replace(r#""Classes": ["#, &with_classes)
 }
 
 #[test]
-fn many_classes_and_tenants_are_taken_and_one_that_stands_twice_is_named() {
+fn many_classes_and_tenants_are_accepted_and_a_duplicate_among_them_is_named() {
     let last = r#"{"Name":"last","AllowancePerS":1,"Share":0.5}"#;
-    let running = Config::parse(&many(last)).expect("good");
-    let mut new = Config::parse(&many(last)).expect("good");
-    new.replaces(&running).expect("good");
-    let replacement = SettingsUpdate::new(new.site.clone(), &running.site);
-    assert_eq!(replacement.previous_tenants.len(), MANY + 1);
-    assert!(replacement.previous_tenants.iter().enumerate().all(|(now, before)| *before == Some(now)));
-    assert_eq!(new.site.class_names.position("submit"), Some(MANY + 1));
-
-    let twice = many(r#"{"Name":"t-7","AllowancePerS":1,"Share":0.5}"#);
-    let why = Config::parse(&twice).map(|_| ()).expect_err("one stands twice").to_string();
+    let running = Config::parse(&with_many_entries(last)).expect("good");
+    let mut new = Config::parse(&with_many_entries(last)).expect("good");
+    new.prepare_reload(&running).expect("good");
+    let update = SettingsUpdate::new(new.site.clone(), &running.site);
+    assert_eq!(update.previous_tenants.len(), MANY_ENTRIES + 1);
+    assert!(update.previous_tenants.iter().enumerate().all(|(now, before)| *before == Some(now)));
+    assert_eq!(new.site.class_names.position("submit"), Some(MANY_ENTRIES + 1));
+
+    let duplicate = with_many_entries(r#"{"Name":"t-7","AllowancePerS":1,"Share":0.5}"#);
+    let message = Config::parse(&duplicate).map(|_| ()).expect_err("a duplicate name").to_string();
     let shown = "[\"t-0\", \"t-1\", \"t-2\", \"t-3\", \"t-4\", \"t-5\", \"t-6\", \"t-7\"] and 399993 more";
     assert_eq!(
-        why,
+        message,
         format!(
             "Projects: a name is empty or stands twice in {shown}: \"t-7\" at 7 and 400000; expected each once"
         )
     );
-    let short = many(r#"{"Name":"last","Share":0.5}"#);
-    let mut short = Config::parse(&short).expect("good by itself");
-    let why = short.replaces(&running).expect_err("a key is missing").to_string();
-    assert!(why.contains("/settings/Projects/400000/AllowancePerS is missing"), "{why}");
+    let incomplete = with_many_entries(r#"{"Name":"last","Share":0.5}"#);
+    let mut incomplete = Config::parse(&incomplete).expect("good by itself");
+    let message = incomplete.prepare_reload(&running).expect_err("a key is missing").to_string();
+    assert!(message.contains("/settings/Projects/400000/AllowancePerS is missing"), "{message}");
 }
 
 #[test]
-fn of_many_entries_no_more_keys_are_kept_than_of_few() {
+fn the_kept_keys_do_not_grow_with_the_number_of_entries() {
     let shape = |text: &str| {
         let mut config = Config::parse(text).expect("good").without_known_list();
-        config.shape.fold();
+        config.shape.compact();
         config.shape
     };
     let last = r#"{"Name":"last","AllowancePerS":1,"Share":0.5}"#;
     let few = RUNNING.replace(r#""settings": {"#, &format!(r#""settings": {{"Projects": [{last}],"#));
-    assert_eq!(shape(&many(last)), shape(&few));
+    assert_eq!(shape(&with_many_entries(last)), shape(&few));
 }
 
-// ---- Keys that a later file lacks -----------------------------------------------------------------
+// ---- Keys that a reloaded file lacks --------------------------------------------------------------
 
-/// What is lacking, reckoned from the whole JSON trees.
-fn lacks_by_values(running: &Value, new: &Value, path: &str) -> Option<String> {
+/// The model of `missing_key`: the same computed from the whole JSON values.
+fn missing_key_by_values(running: &Value, new: &Value, path: &str) -> Option<String> {
     match (running, new) {
         (Value::Object(running), Value::Object(new)) => {
             let sorted: BTreeMap<_, _> = running.iter().collect();
@@ -181,24 +186,26 @@
                 let path = format!("{path}/{key}");
                 match new.get(key) {
                     None | Some(Value::Null) if !value.is_null() => {
-                        Some(ConfigError::Missing(path).to_string())
+                        Some(ConfigError::MissingKey(path).to_string())
                     }
-                    Some(new) => lacks_by_values(value, new, &path),
+                    Some(new) => missing_key_by_values(value, new, &path),
                     None => None,
                 }
             })
         }
         (Value::Array(running), Value::Array(new)) => {
             let (first, rest) = running.split_first()?;
-            let common = rest.iter().fold(first.clone(), |mut common, other| {
-                if let (Value::Object(common), Value::Object(other)) = (&mut common, other) {
-                    common.retain(|key, _| other.contains_key(key));
+            let shared = rest.iter().fold(first.clone(), |mut shared, other| {
+                if let (Value::Object(shared), Value::Object(other)) = (&mut shared, other) {
+                    shared.retain(|key, _| other.contains_key(key));
                 }
-                common
+                shared
             });
-            new.iter().enumerate().find_map(|(i, new)| lacks_by_values(&common, new, &format!("{path}/{i}")))
+            new.iter()
+                .enumerate()
+                .find_map(|(i, new)| missing_key_by_values(&shared, new, &format!("{path}/{i}")))
         }
-        (Value::Object(_) | Value::Array(_), _) => Some(ConfigError::OtherKind(path.into()).to_string()),
+        (Value::Object(_) | Value::Array(_), _) => Some(ConfigError::DifferentKind(path.into()).to_string()),
         _ => None,
     }
 }
@@ -223,19 +230,19 @@
     #![proptest_config(ProptestConfig { cases: 4000, failure_persistence: None, rng_seed: RngSeed::Fixed(20_261_202), ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_lacking_is_told_as_from_the_whole_trees(running in any_json(), new in any_json()) {
-        let of = |value: &Value| serde_json::from_str::<Shape>(&value.to_string()).expect("JSON");
-        let expected = lacks_by_values(&running, &new, "");
-        let (mut folded, read) = (of(&running), of(&new));
-        prop_assert_eq!(lacks(&folded, &read, "").map(|problem| problem.to_string()), expected.clone());
-        folded.fold();
-        prop_assert_eq!(lacks(&folded, &read, "").map(|problem| problem.to_string()), expected);
+    fn comparing_schemas_finds_the_same_missing_key_as_comparing_values(running in any_json(), new in any_json()) {
+        let shape_of = |value: &Value| serde_json::from_str::<Shape>(&value.to_string()).expect("JSON");
+        let expected = missing_key_by_values(&running, &new, "");
+        let (mut compacted, read) = (shape_of(&running), shape_of(&new));
+        prop_assert_eq!(missing_key(&compacted, &read, "").map(|problem| problem.to_string()), expected.clone());
+        compacted.compact();
+        prop_assert_eq!(missing_key(&compacted, &read, "").map(|problem| problem.to_string()), expected);
     }
 }
 
-/// The planned 4,900 nodes are read, twice as many are, and one more is refused with what was expected.
+/// The planned fleet has 4,900 nodes; the bound is twice that.
 #[test]
-fn a_fleet_of_the_planned_size_is_read_and_a_larger_than_the_bound_is_refused() {
+fn the_peers_of_a_planned_fleet_are_accepted_and_more_than_the_bound_are_refused() {
     let peers = |count: usize| {
         let peers: Vec<_> =
             (0..count).map(|node| format!("\"10.0.{}.{}:7946\"", node >> 8, node & 255)).collect();
