--- a/src/control/server_table/mod.rs
+++ b/src/control/server_table/mod.rs
@@ -1,8 +1,9 @@
 //! The server table of a node that holds a subset of a long list.
 //!
-//! Of each ready server it keeps what is needed to take it into the subset, in some tens of bytes; the balancer and the
-//! connection pool are told of the subset alone. Which part of the list that is, `src/policy/subset.rs` decides. Servers
-//! that are not ready are kept only as far as they are held.
+//! The table keeps a compact entry of some tens of bytes for each ready server, enough to add it to the
+//! subset later. The balancer and the connection pool receive the subset alone. Subsetting is deterministic:
+//! `src/policy/subset.rs` computes from the node's rank which range of each ring it holds. Servers that are
+//! not ready are kept only while they are held.
 
 mod compact_server;
 mod ring;
@@ -11,235 +12,244 @@
 
 use crate::control::updates::{Backend, ListUpdate};
 use crate::{LEAST_SUBSET, ListKind, RingLayout, ServerId, ServerState, SubsetRing};
-use compact_server::Listed;
+use compact_server::CompactEntry;
 use ring::Ring;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// News of the list as far as they concern the subset, to be told to pool and balancer in this order.
+/// An update of the list reduced to the subset, for the connection pool and the balancer. The rings are
+/// applied first.
 pub struct SubsetUpdate {
-    /// The rings of which a part is held.
+    /// The rings of which the node holds a range.
     pub rings: Vec<SubsetRing>,
-    /// What enters the subset, changes in it or leaves it.
+    /// The servers that enter the subset, change in it or leave it.
     pub update: ListUpdate,
 }
 
-/// All ready servers of the list, and which servers the node holds.
+/// All ready servers of the list, and the ids of the servers that the node holds.
 ///
-/// It grows with the ready servers of the list, whose number is bounded by
-/// [`Config::max_listed_servers`](crate::control::config::Config), at [`LISTED_SERVER_BYTES`] each; what is held is bounded by the
-/// configured size of a part, for each zone, times the size of a cell where cells are held whole, and by those that drain.
+/// Its memory is bounded: by the number of ready servers, which is at most
+/// [`Config::max_listed_servers`](crate::control::config::Config), at [`LISTED_SERVER_BYTES`] each. The
+/// number of held servers is bounded by the configured size of the subset for each ring, times the size of a
+/// cell where cells are held whole, plus the held servers that drain.
 pub struct ServerTable {
-    /// How many servers of each ring are held from the first in use on.
-    servers: usize,
+    /// How many servers of each ring are held, counted from the first one that the node uses.
+    subset_size: usize,
     layout: RingLayout,
-    /// One for each zone, or one of all.
+    /// One ring for each zone, or a single one of all servers under `None`.
     rings: BTreeMap<Option<u8>, Ring>,
-    /// Ready servers by cell, with their positions; empty where cells are not held whole.
+    /// Cell and ring position of each ready server; empty where cells are not held whole.
     cells: BTreeSet<(u16, u64)>,
-    /// The ready servers that are to be held, and whether servers or layout have changed since that was reckoned.
-    wanted: BTreeSet<ServerId>,
+    /// The ready servers that the node is to hold.
+    selected: BTreeSet<ServerId>,
+    /// Whether servers or layout have changed since `selected` was computed.
     changed: bool,
-    /// Told to pool and balancer, and not taken back.
+    /// The servers that pool and balancer hold: those passed to them that have not been reported as gone
+    /// since.
     held: BTreeSet<ServerId>,
 }
 
-/// Bytes that a listed server takes at most: its place here and in the discovery client, and its part of a list that is
-/// being taken in, which is the most of it. Measured with `what_a_subset_costs` (`tests/subset_node/costs.rs`).
+/// Upper bound on a node's memory for each listed server where a subset is held, in bytes: its entry here and
+/// in the discovery client, and its part of a list that is being applied, which is most of it.
+/// `what_a_subset_costs` (`tests/subset_node/costs.rs`) measures it.
 pub const LISTED_SERVER_BYTES: usize = 512;
 
-/// Of a cell no more are held than a choice compares.
-const MOST_OF_A_CELL: usize = LEAST_SUBSET / 2;
+/// The most servers of one cell that are held: as many as one server selection compares.
+const MAX_HELD_PER_CELL: usize = LEAST_SUBSET / 2;
 
 impl ServerTable {
-    /// An empty list, of whose rings so many servers are to be held.
-    pub fn new(servers: usize, layout: RingLayout) -> Self {
+    /// An empty table that is to hold `subset_size` servers of each ring.
+    pub fn new(subset_size: usize, layout: RingLayout) -> Self {
         ServerTable {
-            servers,
+            subset_size,
             layout,
             rings: BTreeMap::new(),
             cells: BTreeSet::new(),
-            wanted: BTreeSet::new(),
+            selected: BTreeSet::new(),
             changed: false,
             held: BTreeSet::new(),
         }
     }
 
-    /// Takes in news of the list.
-    pub fn apply(&mut self, news: ListUpdate, layout: RingLayout) -> SubsetUpdate {
-        let ListUpdate { kind, backends } = news;
+    /// Applies an update of the list, and returns what it changes in the subset.
+    pub fn apply(&mut self, update: ListUpdate, layout: RingLayout) -> SubsetUpdate {
+        let ListUpdate { kind, backends } = update;
         if kind == ListKind::Failed {
             return SubsetUpdate { rings: self.held_rings(), update: ListUpdate { kind, backends } };
         }
-        let whole = matches!(kind, ListKind::Full | ListKind::Cached);
-        self.lay_out(layout);
-        if whole {
+        let full_list = matches!(kind, ListKind::Full | ListKind::Cached);
+        self.apply_layout(layout);
+        if full_list {
             self.rings.clear();
             self.cells.clear();
             self.changed = true;
         }
-        self.note(&backends);
-        self.choose();
-        let mut told = Vec::new();
-        let mut named = BTreeSet::new();
+        self.update_rings(&backends);
+        self.update_selection();
+        let mut changes = Vec::new();
+        let mut included = BTreeSet::new();
         for backend in backends {
             let id = backend.entry.id;
             let ready = backend.entry.state == ServerState::Ready;
-            let concerns = if ready { self.wanted.contains(&id) } else { self.held.contains(&id) };
-            if concerns {
-                named.insert(id);
-                told.push(backend);
+            let in_subset = if ready { self.selected.contains(&id) } else { self.held.contains(&id) };
+            if in_subset {
+                included.insert(id);
+                changes.push(backend);
             }
         }
-        self.tell_moves(whole, &named, &mut told);
-        if whole {
+        self.add_moves(full_list, &included, &mut changes);
+        if full_list {
             self.held.clear();
         }
-        self.hold(&told);
-        SubsetUpdate { rings: self.held_rings(), update: ListUpdate { kind, backends: told } }
+        self.record_held(&changes);
+        SubsetUpdate { rings: self.held_rings(), update: ListUpdate { kind, backends: changes } }
     }
 
-    /// The rings are divided otherwise, or not: what that changes, if it changes anything.
+    /// Changes how the rings are divided among the nodes, and returns what that changes in the subset; `None`
+    /// if the layout is the same as before.
     pub fn set_layout(&mut self, layout: RingLayout) -> Option<SubsetUpdate> {
         if layout == self.layout {
             return None;
         }
-        self.lay_out(layout);
-        self.choose();
-        let mut told = Vec::new();
-        self.tell_moves(false, &BTreeSet::new(), &mut told);
-        self.hold(&told);
-        let update = ListUpdate { kind: ListKind::Subset, backends: told };
+        self.apply_layout(layout);
+        self.update_selection();
+        let mut changes = Vec::new();
+        self.add_moves(false, &BTreeSet::new(), &mut changes);
+        self.record_held(&changes);
+        let update = ListUpdate { kind: ListKind::Subset, backends: changes };
         Some(SubsetUpdate { rings: self.held_rings(), update })
     }
 
-    /// How many ready servers are listed.
+    /// The number of ready servers in the list.
     pub fn ready_count(&self) -> usize {
         self.rings.values().map(Ring::len).sum()
     }
 
-    /// How many servers are held, those that drain among them.
+    /// The number of held servers, including those that drain.
     pub fn held_count(&self) -> usize {
         self.held.len()
     }
 
-    /// Divides the servers into rings and cells anew, if that is to be by another rule.
-    fn lay_out(&mut self, layout: RingLayout) {
-        let before = std::mem::replace(&mut self.layout, layout);
-        self.changed |= layout != before;
-        if (layout.by_zone, layout.whole_cells) == (before.by_zone, before.whole_cells) {
+    /// Sets the layout, and rebuilds rings and cells if servers are grouped differently by it.
+    fn apply_layout(&mut self, layout: RingLayout) {
+        let previous = std::mem::replace(&mut self.layout, layout);
+        self.changed |= layout != previous;
+        if (layout.by_zone, layout.whole_cells) == (previous.by_zone, previous.whole_cells) {
             return;
         }
         self.cells.clear();
-        let all = std::mem::take(&mut self.rings).into_values().flat_map(Ring::into_places);
-        for (position, listed) in all {
-            self.put(position, listed);
+        let all = std::mem::take(&mut self.rings).into_values().flat_map(Ring::into_slots);
+        for (position, entry) in all {
+            self.insert(position, entry);
         }
     }
 
-    fn put(&mut self, position: u64, listed: Listed) {
+    fn insert(&mut self, position: u64, entry: CompactEntry) {
         self.changed = true;
         if self.layout.whole_cells {
-            self.cells.insert((listed.cell(), position));
+            self.cells.insert((entry.cell(), position));
         }
-        self.rings.entry(self.ring_of(listed.zone())).or_default().put(position, listed);
+        self.rings.entry(self.ring_key(entry.zone())).or_default().insert(position, entry);
     }
 
     fn remove(&mut self, position: u64) {
-        let taken = self.rings.values_mut().find_map(|ring| ring.remove(position));
-        if let Some(listed) = taken {
+        let removed = self.rings.values_mut().find_map(|ring| ring.remove(position));
+        if let Some(entry) = removed {
             self.changed = true;
-            self.cells.remove(&(listed.cell(), position));
+            self.cells.remove(&(entry.cell(), position));
         }
     }
 
-    fn ring_of(&self, zone: u8) -> Option<u8> {
+    /// The key in `rings` of a zone's ring.
+    fn ring_key(&self, zone: u8) -> Option<u8> {
         self.layout.by_zone.then_some(zone)
     }
 
-    /// Puts what is ready into its ring, and takes out what is not.
-    fn note(&mut self, backends: &[Backend]) {
+    /// Inserts ready servers into their rings, and removes all others.
+    fn update_rings(&mut self, backends: &[Backend]) {
         for backend in backends {
             let entry = &backend.entry;
             let (position, ready) = (entry.id.ring_position(), entry.state == ServerState::Ready);
-            // One that is listed in another zone or cell than before leaves its earlier ring and cell.
+            // A server whose zone or cell has changed is removed from its previous ring and cell first.
             if !(ready && self.replace(position, backend)) {
                 self.remove(position);
                 if ready {
-                    self.put(position, Listed::new(backend));
+                    self.insert(position, CompactEntry::new(backend));
                 }
             }
         }
         self.rings.retain(|_, ring| !ring.is_empty());
     }
 
-    /// Replaces what is listed of a server that stays in its place. False if it has none, or another one.
+    /// Replaces the entry of a server whose zone and cell are unchanged; false if it is not in the table or
+    /// they changed.
     fn replace(&mut self, position: u64, backend: &Backend) -> bool {
-        let ring = self.ring_of(backend.entry.zone);
-        let Some(known) = self.rings.get_mut(&ring).and_then(|ring| ring.get_mut(position)) else {
+        let ring_key = self.ring_key(backend.entry.zone);
+        let Some(known) = self.rings.get_mut(&ring_key).and_then(|ring| ring.get_mut(position)) else {
             return false;
         };
-        let stays = (known.zone(), known.cell()) == (backend.entry.zone, backend.entry.cell);
-        if stays {
-            *known = Listed::new(backend);
+        let unmoved = (known.zone(), known.cell()) == (backend.entry.zone, backend.entry.cell);
+        if unmoved {
+            *known = CompactEntry::new(backend);
         }
-        stays
+        unmoved
     }
 
-    /// Chooses the servers that are to be held, of those that are ready.
-    fn choose(&mut self) {
+    /// Selects the ready servers that are to be held, if servers or layout have changed.
+    fn update_selection(&mut self) {
         if std::mem::take(&mut self.changed) {
-            self.wanted = self.chosen();
+            self.selected = self.select();
         }
     }
 
-    fn chosen(&self) -> BTreeSet<ServerId> {
-        let parts = self.rings.values().flat_map(|ring| self.part(ring));
-        let mut wanted: BTreeSet<_> =
-            parts.clone().map(|(position, _)| ServerId::at_ring_position(*position)).collect();
+    fn select(&self) -> BTreeSet<ServerId> {
+        let ranges = self.rings.values().flat_map(|ring| self.held_range(ring));
+        let mut selected: BTreeSet<_> =
+            ranges.clone().map(|(position, _)| ServerId::at_ring_position(*position)).collect();
         if self.layout.whole_cells {
-            let cells: BTreeSet<_> = parts.map(|(_, listed)| listed.cell()).collect();
-            wanted.extend(cells.into_iter().flat_map(|cell| self.cell(cell)));
+            let cells: BTreeSet<_> = ranges.map(|(_, entry)| entry.cell()).collect();
+            selected.extend(cells.into_iter().flat_map(|cell| self.cell_servers(cell)));
         }
-        wanted
+        selected
     }
 
-    /// The ready servers of a cell, or some of them if it is a large one.
-    fn cell(&self, cell: u16) -> impl Iterator<Item = ServerId> {
+    /// The ready servers of a cell, at most [`MAX_HELD_PER_CELL`] of them.
+    fn cell_servers(&self, cell: u16) -> impl Iterator<Item = ServerId> {
         let all = self.cells.range((cell, 0)..=(cell, u64::MAX));
-        all.take(MOST_OF_A_CELL).map(|(_, position)| ServerId::at_ring_position(*position))
+        all.take(MAX_HELD_PER_CELL).map(|(_, position)| ServerId::at_ring_position(*position))
     }
 
-    /// The part of a ring that is to be held.
-    fn part<'a>(&self, ring: &'a Ring) -> impl Iterator<Item = &'a (u64, Listed)> + Clone {
-        let stretch = self.layout.held_range(ring.len(), self.servers);
-        ring.round_from(stretch.start).take(stretch.length)
+    /// The range of a ring that is to be held.
+    fn held_range<'a>(&self, ring: &'a Ring) -> impl Iterator<Item = &'a (u64, CompactEntry)> + Clone {
+        let range = self.layout.held_range(ring.len(), self.subset_size);
+        ring.iter_from_rank(range.start).take(range.length)
     }
 
-    /// Adds what enters the subset, and what leaves it, beside the servers that are `named` already.
-    fn tell_moves(&self, whole: bool, named: &BTreeSet<ServerId>, told: &mut Vec<Backend>) {
-        for id in self.wanted.iter().filter(|id| !named.contains(id)) {
-            if whole || !self.held.contains(id) {
-                told.extend(self.listed(*id, ServerState::Ready));
+    /// Adds the servers that enter the subset and those that leave it to `changes`, apart from those
+    /// `included` already.
+    fn add_moves(&self, full_list: bool, included: &BTreeSet<ServerId>, changes: &mut Vec<Backend>) {
+        for id in self.selected.iter().filter(|id| !included.contains(id)) {
+            if full_list || !self.held.contains(id) {
+                changes.extend(self.backend(*id, ServerState::Ready));
             }
         }
-        if whole {
-            return; // what a whole list does not name has left
+        if full_list {
+            return; // a server that a full list does not contain counts as gone
         }
-        // One that is held and not on a ring drains, and is not told of yet that it is gone.
-        let left = self.held.iter().filter(|id| !self.wanted.contains(id) && !named.contains(id));
-        told.extend(left.filter_map(|id| self.listed(*id, ServerState::Gone)));
+        // A held server that is on no ring is draining: it stays until the list reports it as gone.
+        let left = self.held.iter().filter(|id| !self.selected.contains(id) && !included.contains(id));
+        changes.extend(left.filter_map(|id| self.backend(*id, ServerState::Gone)));
     }
 
-    /// A ready server as the list has it, but for its state.
-    fn listed(&self, id: ServerId, state: ServerState) -> Option<Backend> {
+    /// The full entry of a ready server, with the given state.
+    fn backend(&self, id: ServerId, state: ServerState) -> Option<Backend> {
         let position = id.ring_position();
-        let listed = self.rings.values().find_map(|ring| ring.get(position));
-        listed.map(|listed| listed.backend(id, state))
+        let entry = self.rings.values().find_map(|ring| ring.get(position));
+        entry.map(|entry| entry.to_backend(id, state))
     }
 
-    /// Notes what pool and balancer are told.
-    fn hold(&mut self, told: &[Backend]) {
-        for Backend { entry, .. } in told {
+    /// Records which servers pool and balancer hold after these changes.
+    fn record_held(&mut self, changes: &[Backend]) {
+        for Backend { entry, .. } in changes {
             if entry.state == ServerState::Gone {
                 self.held.remove(&entry.id);
             } else {
@@ -248,13 +258,13 @@
         }
     }
 
-    /// What the balancer is told of the rings.
+    /// The rings as the balancer needs them: their length, and the first server that this node uses.
     fn held_rings(&self) -> Vec<SubsetRing> {
-        let held = |(zone, ring): (&Option<u8>, &Ring)| {
-            let mut from_first = ring.round_from(self.layout.first_rank(ring.len()));
+        let summary = |(zone, ring): (&Option<u8>, &Ring)| {
+            let mut from_first = ring.iter_from_rank(self.layout.first_rank(ring.len()));
             let first = from_first.next().map_or(0, |(position, _)| *position);
             SubsetRing { zone: *zone, ready: ring.len(), first }
         };
-        self.rings.iter().map(held).collect()
+        self.rings.iter().map(summary).collect()
     }
 }
