--- a/src/control/peers/addresses.rs
+++ b/src/control/peers/addresses.rs
@@ -1,33 +1,34 @@
-//! The addresses of the other nodes, as the configuration has them.
+//! The configured addresses of the nodes, and the seed addresses made from them.
 
 use hillpick_fleet::Address;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// The configured addresses of a fleet's nodes, by number and as a set: a datagram is looked up among all of them.
+/// The configured addresses of a fleet's nodes, by number and as a hash set, in which the sender of each
+/// datagram is looked up.
 pub(super) struct PeerAddresses {
     by_number: Vec<SocketAddr>,
     all: HashSet<SocketAddr>,
 }
 
 impl PeerAddresses {
-    /// Each node's address, by its number.
+    /// From the nodes' addresses, ordered by node number.
     pub(super) fn new(by_number: Vec<SocketAddr>) -> Self {
         PeerAddresses { all: by_number.iter().copied().collect(), by_number }
     }
 
-    /// The address of a node.
-    pub(super) fn of(&self, number: u16) -> Option<SocketAddr> {
+    /// The address of the node with this number.
+    pub(super) fn by_number(&self, number: u16) -> Option<SocketAddr> {
         self.by_number.get(usize::from(number)).copied()
     }
 
-    /// Whether a node has this address.
+    /// Whether this is the address of a node.
     pub(super) fn contains(&self, address: &SocketAddr) -> bool {
         self.all.contains(address)
     }
 
-    /// Where others may be found: at the configured addresses, in their order, and then at those that were saved, each
-    /// once. With `advertised`, nodes know each other by addresses and not by number.
+    /// The seed addresses for joining: the configured addresses in their order, then the saved ones, without
+    /// duplicates. With `advertised`, nodes identify each other by socket address instead of by number.
     pub(super) fn seeds(&self, advertised: bool, saved: impl Iterator<Item = Address>) -> Vec<Address> {
         let address = |(number, peer): (usize, &SocketAddr)| match peer {
             SocketAddr::V4(peer) if advertised => Address::Socket(*peer),
--- a/src/control/peers/membership_view.rs
+++ b/src/control/peers/membership_view.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the others, as the operators' calls show it. It only looks.
+//! The state of membership as JSON, for `GET /members` of the admin interface. Read-only.
 
 use hillpick_fleet::{Agreement, Identity, Membership};
 use serde_json::{Value, json};
@@ -7,50 +7,51 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What the node knows of the others: shared with the operators' calls, which only look.
+/// A read-only handle to the membership core, shared with the admin interface; empty until the node first
+/// joins. Times of the core count from the `Instant` beside it.
 #[derive(Clone, Default)]
 pub struct MembershipView(pub(super) Rc<RefCell<Option<(Membership, Instant)>>>);
 
 impl MembershipView {
-    /// All of it, as JSON; `None` where there is no membership.
+    /// The whole state as JSON; `None` where no fleet is configured or the node has not joined yet.
     pub fn to_json(&self) -> Option<Value> {
         let mut view = self.0.borrow_mut();
-        let (core, begun) = view.as_mut()?;
-        let now = begun.elapsed();
+        let (core, epoch) = view.as_mut()?;
+        let now = epoch.elapsed();
         let agreement = core.agreement(now);
-        let identity = |who: &Identity| {
-            json!({"name": who.name.to_string(), "address": who.address.to_string(), "zone": who.zone,
-                "started_ms": who.started_ms, "renewed": who.renewed, "program": who.program_version})
+        let identity_json = |identity: &Identity| {
+            json!({"name": identity.name.to_string(), "address": identity.address.to_string(), "zone": identity.zone,
+                "started_ms": identity.started_ms, "renewed": identity.renewed, "program": identity.program_version})
         };
         let members: Vec<_> = core
             .members(now)
             .iter()
             .map(|member| {
-                let mut told = identity(&member.identity);
-                told["state"] = json!(if member.suspect { "suspect" } else { "alive" });
-                told["incarnation"] = json!(member.incarnation);
-                told["heard_ms_ago"] = json!(member.heard_ago.map(|ago| ago.as_millis() as u64));
-                told
+                let mut entry = identity_json(&member.identity);
+                entry["state"] = json!(if member.suspect { "suspect" } else { "alive" });
+                entry["incarnation"] = json!(member.incarnation);
+                entry["heard_ms_ago"] = json!(member.heard_ago.map(|ago| ago.as_millis() as u64));
+                entry
             })
             .collect();
         let departed: Vec<_> = core
             .departed(now)
-            .map(|(who, cause, ago)| {
-                let mut told = identity(who);
-                told["cause"] = json!(format!("{cause:?}").to_lowercase());
-                told["ms_ago"] = json!(ago.as_millis() as u64);
-                told
+            .map(|(identity, cause, ago)| {
+                let mut entry = identity_json(identity);
+                entry["cause"] = json!(format!("{cause:?}").to_lowercase());
+                entry["ms_ago"] = json!(ago.as_millis() as u64);
+                entry
             })
             .collect();
         let counters = core.counters();
         let rejected: serde_json::Map<_, _> =
-            counters.rejected.iter().map(|(why, count)| (why.to_string(), json!(count))).collect();
+            counters.rejected.iter().map(|(reason, count)| (reason.to_string(), json!(count))).collect();
         Some(json!({
-            "self": identity(core.local_identity()),
+            "self": identity_json(core.local_identity()),
             "phase": format!("{:?}", core.phase()).to_lowercase(),
-            "displaced_by": core.displaced_by().map(identity),
+            "displaced_by": core.displaced_by().map(identity_json),
             "health": core.health().score(),
-            "agreement": told_of(&agreement, now),
+            "agreement": agreement_json(&agreement, now),
             "members": members,
             "departed": departed,
             "counters": {"sent": counters.sent, "sent_bytes": counters.sent_bytes, "heard": counters.received,
@@ -60,7 +61,7 @@
     }
 }
 
-fn told_of(agreement: &Agreement, now: Duration) -> Value {
+fn agreement_json(agreement: &Agreement, now: Duration) -> Value {
     json!({
         "certainty": format!("{:?}", agreement.certainty).to_lowercase(),
         "for_ms": now.saturating_sub(agreement.since).as_millis() as u64,
--- a/src/control/peers/saved_members.rs
+++ b/src/control/peers/saved_members.rs
@@ -1,4 +1,4 @@
-//! The members that a node keeps on disk, so that a start finds them again.
+//! Persisted peers: the members that a node saves to disk, so that it finds them after a restart.
 
 use crate::control::config::MAX_PEERS;
 use crate::control::log::log;
@@ -8,71 +8,74 @@
 use std::path::PathBuf;
 use tokio::task::{JoinHandle, spawn_blocking};
 
-/// What a start finds again of the life before: when that began, and whom it knew.
+/// The content of the saved file: the start time of the incarnation that wrote it, and the members that it
+/// knew.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Saved {
     pub(super) started_ms: u64,
     pub(super) members: Vec<(Name, Address)>,
 }
 
-/// What the disk holds, and the write that is under way.
+/// The saved file and its content, and the write in progress.
 pub(super) struct SavedMembers {
     path: Option<PathBuf>,
     pub(super) saved: Saved,
-    /// The version of the view that was looked at last. A view that has not changed is not listed again.
-    looked_at: Option<u64>,
-    /// How often a view was listed.
-    pub(super) listed: u64,
+    /// The view's version at the last [`SavedMembers::save`]: an unchanged view is not listed again.
+    last_version: Option<u64>,
+    /// How often the members of a view were listed, for tests.
+    pub(super) list_count: u64,
     writing: Option<JoinHandle<()>>,
 }
 
 impl SavedMembers {
-    /// Kept in this file, if there is one to be.
+    /// Saves to this file; to none without a path.
     pub(super) fn new(path: Option<PathBuf>) -> Self {
-        SavedMembers { path, saved: Saved::default(), looked_at: None, listed: 0, writing: None }
+        SavedMembers { path, saved: Saved::default(), last_version: None, list_count: 0, writing: None }
     }
 
-    /// What the life before has left. A file that is broken is no reason not to start: `peers` is there as well.
+    /// Loads what the previous process saved. A broken file does not prevent the start, since the
+    /// configuration's `peers` are seed addresses too.
     pub(super) fn load(&mut self) {
         let Some(path) = &self.path else { return };
         match saved_file::load::<Saved>(path) {
             Ok(None) => {}
-            Ok(Some(kept)) => {
-                let known = kept.value.members.len();
+            Ok(Some(loaded)) => {
+                let count = loaded.value.members.len();
                 let age =
-                    kept.age.map_or("of an unknown age".into(), |age| format!("{} s old", age.as_secs()));
-                log(format_args!("{known} saved members, {age}, to be asked who lives"));
-                self.saved = kept.value;
+                    loaded.age.map_or("of unknown age".into(), |age| format!("{} s old", age.as_secs()));
+                log(format_args!("{count} saved members, {age}, used as seed addresses"));
+                self.saved = loaded.value;
                 self.saved.members.truncate(MAX_PEERS);
             }
-            Err(problem) => log(format_args!("no saved members from {}: {problem}", path.display())),
+            Err(problem) => log(format_args!("cannot load saved members from {}: {problem}", path.display())),
         }
     }
 
-    /// Another life of this node has begun: its view counts from anew.
-    pub(super) fn starts(&mut self, started_ms: u64) {
+    /// Starts a new incarnation of this node, whose view versions count from 0 again.
+    pub(super) fn begin_incarnation(&mut self, started_ms: u64) {
         self.saved.started_ms = started_ms;
-        self.looked_at = None;
+        self.last_version = None;
     }
 
-    /// Writes the members to disk if they have changed, off the thread that serves. Who knows nobody keeps what was known.
+    /// Writes the members to disk if they have changed, on a blocking thread. An empty view is not written,
+    /// so that a node that has not found any member yet keeps the saved ones.
     pub(super) fn save(&mut self, core: &Membership) {
         let Some(path) = self.path.clone() else { return };
         if self.writing.as_ref().is_some_and(|writing| !writing.is_finished()) {
             return;
         }
-        if self.looked_at.replace(core.view_version()) == Some(core.view_version()) {
+        if self.last_version.replace(core.view_version()) == Some(core.view_version()) {
             return;
         }
-        self.listed += 1;
+        self.list_count += 1;
         let members = core.identities().map(|identity| (identity.name, identity.address)).collect();
-        let now = Saved { started_ms: core.local_identity().started_ms, members };
-        if now.members.is_empty() || now == self.saved {
+        let current = Saved { started_ms: core.local_identity().started_ms, members };
+        if current.members.is_empty() || current == self.saved {
             return;
         }
-        self.saved = now.clone();
+        self.saved = current.clone();
         self.writing = Some(spawn_blocking(move || {
-            if let Err(e) = saved_file::save(&path, &now) {
+            if let Err(e) = saved_file::save(&path, &current) {
                 log(format_args!("cannot save the members to {}: {e}", path.display()));
             }
         }));
--- a/src/control/peers/tests.rs
+++ b/src/control/peers/tests.rs
@@ -1,4 +1,5 @@
-//! Nodes that take part in membership without a program around them: several in one thread, over UDP.
+//! Membership drivers without the rest of a node: several in one thread, over UDP; seed addresses and
+//! persisted peers.
 
 use super::saved_members::Saved;
 use super::*;
@@ -6,17 +7,17 @@
 use std::hint::black_box;
 use tokio::task::{LocalSet, spawn_local};
 
-/// The owner's side of a node.
+/// The owner's side of a driver.
 struct Owner {
-    told: mpsc::Receiver<FleetView>,
+    fleet_views: mpsc::Receiver<FleetView>,
     state: watch::Sender<ProcessState>,
 }
 
-/// A configuration of one node among three, known by addresses that all see alike.
-fn config(node: usize, hears: SocketAddr, peers: &[SocketAddr], extra: &str) -> Config {
+/// The configuration of one of three nodes; `extra` are further keys of `fleet`.
+fn config(node: usize, listen: SocketAddr, peers: &[SocketAddr], extra: &str) -> Config {
     let peers: Vec<_> = peers.iter().map(|peer| format!("\"{peer}\"")).collect();
     let text = format!(
-        r#"{{"name": "n{node}", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "peer_listen": "{hears}",
+        r#"{{"name": "n{node}", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "peer_listen": "{listen}",
             "peers": [{}], "fleet": {{"cluster": "c", "probe_ms": 100, {extra}}},
             "settings": {{"NInstances": 3, "Ordinal": {node},
             "Permissions": {{"AttemptsCap": 1, "Probes": true, "Peers": true}},
@@ -29,94 +30,95 @@
 const ANY: &str = "127.0.0.1:0";
 const ADVERTISED: &str = r#""advertise": "127.0.0.1:0""#;
 
-/// Starts a node, and says where it hears.
-async fn start(node: usize, peers: &[SocketAddr]) -> (Owner, SocketAddr) {
-    let (messages, told) = mpsc::channel(64);
+/// Starts a driver that other nodes identify by its address, and returns that address.
+async fn start_driver(node: usize, peers: &[SocketAddr]) -> (Owner, SocketAddr) {
+    let (messages, fleet_views) = mpsc::channel(64);
     let (state, process) = watch::channel(ProcessState::Active);
     let config = config(node, ANY.parse().expect("an address"), peers, ADVERTISED);
-    let peers =
+    let driver =
         MembershipDriver::new(&config, MembershipView::default(), messages, process, Rc::new(NoSiblings));
-    let peers = peers.expect("a good configuration").expect("a fleet");
-    let socket = peers.bind().await.expect("an address").expect("no predecessor");
-    let hears = socket.local_addr().expect("an address");
-    spawn_local(peers.run(Some(socket)));
-    (Owner { told, state }, hears)
+    let driver = driver.expect("a good configuration").expect("a fleet");
+    let socket = driver.bind().await.expect("an address").expect("no predecessor");
+    let address = socket.local_addr().expect("an address");
+    spawn_local(driver.run(Some(socket)));
+    (Owner { fleet_views, state }, address)
 }
 
 impl Owner {
-    /// Waits until it is told of so many live nodes.
-    async fn hears_of(&mut self, live: u32) -> FleetView {
+    /// Waits for a fleet view with so many live nodes.
+    async fn wait_for_live(&mut self, live: u32) -> FleetView {
         loop {
-            let tier = self.told.recv().await.expect("a node that runs");
-            if tier.live == live {
-                return tier;
+            let fleet_view = self.fleet_views.recv().await.expect("a driver that runs");
+            if fleet_view.live == live {
+                return fleet_view;
             }
         }
     }
 }
 
-/// Three in one thread find one another, and each owner is told; who drains leaves, and who is called back returns.
+/// Each owner is sent the fleet view; a node in standby leaves, and rejoins when it is active again.
 #[test]
-fn nodes_without_a_program_find_one_another_leave_and_return() {
+fn three_drivers_find_each_other_leave_and_rejoin() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let (mut first, seed) = start(0, &[]).await;
-        let (mut second, _) = start(1, &[seed]).await;
-        let (mut third, _) = start(2, &[seed]).await;
+        let (mut first, seed) = start_driver(0, &[]).await;
+        let (mut second, _) = start_driver(1, &[seed]).await;
+        let (mut third, _) = start_driver(2, &[seed]).await;
         for owner in [&mut first, &mut second, &mut third] {
-            owner.hears_of(3).await;
+            owner.wait_for_live(3).await;
         }
         second.state.send_replace(ProcessState::Standby);
-        let alone = second.hears_of(1).await;
+        let alone = second.wait_for_live(1).await;
         assert_eq!((alone.rank, alone.agreed, alone.could_be_alive), (0, false, 3));
-        first.hears_of(2).await;
-        third.hears_of(2).await;
+        first.wait_for_live(2).await;
+        third.wait_for_live(2).await;
         second.state.send_replace(ProcessState::Active);
         for owner in [&mut first, &mut second, &mut third] {
-            owner.hears_of(3).await;
+            owner.wait_for_live(3).await;
         }
     });
 }
 
-/// An address that another has is an error that names it and what can be done.
+/// The error says which address it is, and which key to change.
 #[test]
-fn an_address_that_is_taken_is_named() {
+fn an_address_in_use_is_named_in_the_error() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let other = UdpSocket::bind(ANY).await.expect("a socket");
-        let taken = other.local_addr().expect("an address");
-        let (messages, _told) = mpsc::channel::<FleetView>(1);
+        let in_use = other.local_addr().expect("an address");
+        let (messages, _fleet_views) = mpsc::channel::<FleetView>(1);
         let (_state, process) = watch::channel(ProcessState::Active);
-        let config = config(0, taken, &[], ADVERTISED);
-        let peers =
+        let config = config(0, in_use, &[], ADVERTISED);
+        let driver =
             MembershipDriver::new(&config, MembershipView::default(), messages, process, Rc::new(NoSiblings));
-        let problem = peers.expect("good").expect("a fleet").bind().await.expect_err("taken");
+        let problem = driver.expect("good").expect("a fleet").bind().await.expect_err("an address in use");
         let text = problem.to_string();
-        assert!(text.contains(&taken.to_string()) && text.contains("change peer_listen"), "{text}");
+        assert!(text.contains(&in_use.to_string()) && text.contains("change peer_listen"), "{text}");
     });
 }
 
-/// Files of versions before have another word for a node's number; they are read, and written the same.
+/// Saved files call a node's number `Seat`, its name in earlier versions, and have to keep that name.
 #[test]
-fn members_that_a_version_before_saved_are_read() {
+fn members_saved_by_an_earlier_version_are_read_and_written_unchanged() {
     let text = r#"{"started_ms":7,"members":[["n1",{"Seat":3}],["n2",{"Socket":"10.0.0.4:7946"}]]}"#;
     let saved: Saved = serde_json::from_str(text).expect("a list");
     assert_eq!(saved.members[0].1, Address::Node(3));
     assert_eq!(serde_json::to_string(&saved).expect("a text"), text);
 }
 
-/// Addresses of so many nodes.
+/// The addresses of a fleet of so many nodes.
 fn addresses(nodes: usize) -> Vec<SocketAddr> {
     let address = |number: usize| SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 7946));
     (0..nodes).map(address).collect()
 }
 
-/// How much longer something takes at one size than at another, each by the best of several rounds that take turns.
+/// How many times as long the large case takes as the small one: the best time of each over several
+/// alternating rounds.
 fn ratio(mut small: impl FnMut(), mut large: impl FnMut()) -> f64 {
-    let timed = |what: &mut dyn FnMut()| {
-        let begun = std::time::Instant::now();
-        what();
-        begun.elapsed().as_secs_f64()
+    let timed = |run: &mut dyn FnMut()| {
+        let start = std::time::Instant::now();
+        run();
+        start.elapsed().as_secs_f64()
     };
     let (mut least_small, mut least_large) = (f64::MAX, f64::MAX);
     for _ in 0..9 {
@@ -126,9 +128,10 @@
     least_large / least_small
 }
 
-/// A datagram's sender is looked up among 32 times as many nodes for no 8 times as long: a scan takes 32.
+/// Among 32 times as many nodes, looking up a datagram's sender takes less than 8 times as long; a linear
+/// scan would take 32 times as long.
 #[test]
-fn a_sender_is_looked_up_in_no_time_that_grows_with_the_fleet() {
+fn looking_up_a_sender_does_not_slow_down_with_the_fleet_size() {
     let look_up = |nodes: usize| {
         let all = addresses(nodes);
         let peers = PeerAddresses::new(all.clone());
@@ -139,21 +142,21 @@
     assert!(ratio < 8.0, "{ratio}");
 }
 
-/// A start among 16 times as many nodes, all of them saved as well, takes no 64 times as long: a scan for each saved one
-/// takes 256.
+/// With 16 times as many nodes, and as many saved members, a start takes less than 64 times as long; a linear
+/// scan for each saved member would take 256 times as long.
 #[test]
-fn a_start_with_saved_members_takes_no_square_of_the_fleet() {
-    let start = |nodes: usize| {
+fn the_time_of_a_start_with_saved_members_is_not_quadratic_in_the_fleet_size() {
+    let make_seeds = |nodes: usize| {
         let peers = PeerAddresses::new(addresses(nodes));
         let saved: Vec<_> = (0..nodes as u16).map(|number| Address::Node(number + 10_000)).collect();
         move || assert_eq!(peers.seeds(false, black_box(&saved).iter().copied()).len(), 2 * nodes)
     };
-    let ratio = ratio(start(300), start(4_800));
+    let ratio = ratio(make_seeds(300), make_seeds(4_800));
     assert!(ratio < 64.0, "{ratio}");
 }
 
 #[test]
-fn seeds_are_the_configured_and_the_saved_addresses_each_once() {
+fn seeds_are_the_configured_and_saved_addresses_without_duplicates() {
     let peers = PeerAddresses::new(addresses(2));
     let saved = [Address::Node(1), Address::Node(7), Address::Node(7)];
     let by_number = [Address::Node(0), Address::Node(1), Address::Node(7)];
@@ -163,14 +166,14 @@
     assert_eq!(peers.seeds(true, saved.into_iter()), [socket(0), socket(1), socket(7)]);
 }
 
-/// The list of the members is made for the disk when it has changed, and not at each look.
+/// Saving is tried at a fixed interval; members are listed only if the view has changed since the last time.
 #[test]
-fn a_view_that_has_not_changed_is_not_listed_again() {
+fn an_unchanged_view_is_not_listed_again() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let folder = std::env::temp_dir().join(format!("sw-saved-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     runtime.block_on(async {
-        let me = |number: u16| Identity {
+        let identity = |number: u16| Identity {
             name: Name::try_from(format!("n{number}")).expect("a name"),
             started_ms: 1,
             renewed: 0,
@@ -180,13 +183,13 @@
         };
         let core = |number| {
             let seeds = (0..2).map(Address::Node).collect();
-            Membership::new(me(number), Settings::with_defaults("c", 2), seeds, 1, Duration::ZERO)
+            Membership::new(identity(number), Settings::with_defaults("c", 2), seeds, 1, Duration::ZERO)
         };
         let (mut first, mut second) = (core(0), core(1));
         let mut saved = SavedMembers::new(Some(folder.join("members")));
         (0..5).for_each(|_| saved.save(&first));
-        assert_eq!(saved.listed, 1);
-        // Until the first knows the second, each hears at once what the other sends.
+        assert_eq!(saved.list_count, 1);
+        // Delivers the datagrams of both without delay until the first knows the second.
         let mut now = Duration::ZERO;
         while first.identities().next().is_none() {
             assert!(now < Duration::from_secs(9), "they find one another");
@@ -207,8 +210,8 @@
             }
         }
         (0..5).for_each(|_| saved.save(&first));
-        assert_eq!((saved.listed, saved.saved.members.len()), (2, 1));
+        assert_eq!((saved.list_count, saved.saved.members.len()), (2, 1));
     });
-    drop(runtime); // and with it a write that is under way
+    drop(runtime); // waits for the write in progress
     std::fs::remove_dir_all(&folder).expect("its own folder");
 }
--- a/src/control/process.rs
+++ b/src/control/process.rs
@@ -1,25 +1,25 @@
-//! How a process of a node stands, and which other processes of the same node there are: types alone.
+//! The state of a node's process, and which other processes of the same node there are: types only.
 
-/// How a process stands.
+/// The state of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It serves.
+    /// It serves requests.
     Active,
-    /// It drains, and may be called back.
+    /// It drains, and may become active again.
     Standby,
-    /// It is told to stop. Nothing follows.
+    /// It has been told to stop. This state is final.
     Terminating,
 }
 
-/// The processes of the same node beside this one, in an upgrade.
+/// The other processes of the same node, during a hot restart.
 pub trait Siblings {
-    /// A process that started earlier is still there.
+    /// Whether a process that started earlier is still running.
     fn has_predecessor(&self) -> bool;
-    /// A process that started later has taken over.
+    /// Whether a process that started later has taken over.
     fn has_successor(&self) -> bool;
 }
 
-/// For a node whose processes are never upgraded in place.
+/// Implements [`Siblings`] for nodes that are never restarted hot: there are no other processes.
 pub struct NoSiblings;
 
 impl Siblings for NoSiblings {
