--- a/src/control/peers/saved_members.rs
+++ b/src/control/peers/saved_members.rs
@@ -40,10 +40,10 @@
         match saved_file::load::<Saved>(path) {
             Ok(None) => {}
             Ok(Some(loaded)) => {
-                let count = loaded.value.members.len();
+                let known = loaded.value.members.len();
                 let age =
                     loaded.age.map_or("of unknown age".into(), |age| format!("{} s old", age.as_secs()));
-                log(format_args!("{count} saved members, {age}, used as seed addresses"));
+                log(format_args!("{known} saved members, {age}, used as seed addresses"));
                 self.saved = loaded.value;
                 self.saved.members.truncate(MAX_PEERS);
             }
--- a/src/control/peers/tests.rs
+++ b/src/control/peers/tests.rs
@@ -48,7 +48,7 @@
     /// Waits for a fleet view with so many live nodes.
     async fn wait_for_live(&mut self, live: u32) -> FleetView {
         loop {
-            let fleet_view = self.fleet_views.recv().await.expect("a driver that runs");
+            let fleet_view = self.fleet_views.recv().await.expect("a running node");
             if fleet_view.live == live {
                 return fleet_view;
             }
