--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -29,7 +29,7 @@
 const MIN_CONNECTIONS: usize = 3;
 
 /// File descriptors reserved for everything but proxied connections: standard streams, listener, runtime,
-/// discovery, the admin interface, and connection attempts that are being abandoned.
+/// discovery, the admin interface, and connection attempts that are ending.
 pub const RESERVED_SOCKETS: usize = 48;
 /// Upper bound on a node's memory for each listed server where all are held, in bytes: its entries in the
 /// decision module, the connection pool and the discovery client, and its part of a list that is being
@@ -42,6 +42,7 @@
 /// The most members that a node keeps, and the most peer addresses that a configuration may have.
 pub const MAX_PEERS: usize = hillpick_fleet::MAX_MEMBERS;
 
+/// The configuration file; the field names are its keys.
 #[derive(Deserialize)]
 struct ConfigFile<'a> {
     #[serde(default)]
@@ -65,7 +66,7 @@
     /// are.
     #[serde(default)]
     fleet: Option<FleetFile>,
-    /// Latencies and regions of the zones; without it no zone is preferred over another.
+    /// Latencies and regions of the zones; without it the node treats all zones alike.
     #[serde(default)]
     zones: Option<ZonesConfig>,
     /// How much of a long list the node holds; without it the node holds all listed servers.
@@ -75,12 +76,14 @@
     settings: &'a RawValue,
 }
 
+/// The key `subset` of the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SubsetFile {
     servers: usize,
 }
 
+/// The key `fleet` of the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FleetFile {
@@ -116,6 +119,7 @@
     pub saved: Option<PathBuf>,
 }
 
+/// The key `limits` of the file.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
@@ -205,6 +209,7 @@
         Config { known_list: None, ..self }
     }
 
+    /// Reads and parses the file, runs a further check, and compacts the schema that is kept.
     fn read(check: impl FnOnce(&mut Self) -> Result<(), ConfigError>) -> Result<Self, ConfigFileError> {
         let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or(ConfigFileError::NotNamed)?);
         let text = match std::fs::read_to_string(&path) {
--- a/src/control/config/error.rs
+++ b/src/control/config/error.rs
@@ -11,7 +11,7 @@
 /// The most names that an error message lists; of more it gives the first ones and the number of the others.
 const NAMES_SHOWN: usize = 8;
 
-/// Why no configuration could be had from its file. The message is one line, whatever stands in the file.
+/// Why no configuration could be loaded from its file. The message is one line, whatever stands in the file.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
     /// The environment variable that names the file is not set.
--- a/src/control/server_table/mod.rs
+++ b/src/control/server_table/mod.rs
@@ -143,6 +143,7 @@
         }
     }
 
+    /// Adds a ready server to its ring and cell.
     fn insert(&mut self, position: u64, entry: CompactEntry) {
         self.changed = true;
         if self.layout.whole_cells {
@@ -151,6 +152,7 @@
         self.rings.entry(self.ring_key(entry.zone())).or_default().insert(position, entry);
     }
 
+    /// Removes a server from its ring and cell, if it is there.
     fn remove(&mut self, position: u64) {
         let removed = self.rings.values_mut().find_map(|ring| ring.remove(position));
         if let Some(entry) = removed {
@@ -201,6 +203,7 @@
         }
     }
 
+    /// The ready servers in the held ranges, and the other servers of their cells where cells are held whole.
     fn select(&self) -> BTreeSet<ServerId> {
         let ranges = self.rings.values().flat_map(|ring| self.held_range(ring));
         let mut selected: BTreeSet<_> =
@@ -235,7 +238,8 @@
         if full_list {
             return; // a server that a full list does not contain counts as gone
         }
-        // A held server that is on no ring is draining: it stays until the list reports it as gone.
+        // A held server that is on no ring is draining: it stays until the list reports it as gone, and
+        // `backend` returns nothing for it.
         let left = self.held.iter().filter(|id| !self.selected.contains(id) && !included.contains(id));
         changes.extend(left.filter_map(|id| self.backend(*id, ServerState::Gone)));
     }
--- a/tests/subset_node/costs.rs
+++ b/tests/subset_node/costs.rs
@@ -56,6 +56,7 @@
     PartWithCells,
 }
 
+/// Starts a node with a list of so many servers, and prints what it uses at rest and as the list changes.
 fn measure((count, tenants, routes): (usize, usize, usize), held: Held) {
     let backend = Backend::start(|_| ok("served"));
     let discovery = Discovery::start();
