--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings text that a node starts with: JSON in the wire's words, turned into the module's
-//! [`Settings`] and the names by which the rest of a node knows things.
+//! Parses the settings text of a node, which is JSON, into the decision module's [`Settings`] and the names
+//! that the rest of the node uses.
 
 mod names;
 #[cfg(test)]
@@ -15,59 +15,61 @@
 pub use names::{NameError, NameTable, TooManyNames};
 pub use text::parse;
 
-/// Why a settings text, or what it says of zones, can't be used. Each names the key, what stands there and what may.
+/// Why a settings text or a zone configuration can't be used. Each message names the key, its value and what
+/// was expected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It is no JSON, or a key is missing or of another kind: mend the place that it names.
+    /// The text is not valid JSON, or a key is missing or has a value of the wrong type. The message
+    /// gives the position.
     #[error("bad settings: {0}")]
     Syntax(#[from] serde_json::Error),
-    /// Requests need a class: add one.
+    /// There is no class, and each request needs one.
     #[error("bad settings: Classes = []: expected one class at least")]
     NoClasses,
-    /// A zone is in one region: leave it in that one.
+    /// A zone is listed more than once, while a zone belongs to one region.
     #[error("zones.regions: {name:?} stands in two places; expected each zone once")]
     DuplicateZone {
-        /// The zone.
+        /// The zone's name.
         name: String,
     },
-    /// A time is out of its bounds: give another.
+    /// A time is out of range.
     #[error("zones.{key} = {value}: expected {least} to {most}")]
     ZoneTimeOutOfRange {
-        /// Its key below `zones`.
+        /// Its key within `zones`.
         key: String,
-        /// What stands there.
+        /// The configured value.
         value: f64,
-        /// The bounds, both of which may be given.
+        /// The least allowed value.
         least: f64,
-        /// Likewise.
+        /// The greatest allowed value.
         most: f64,
     },
 }
 
-/// A load report's columns, in the order of their values.
+/// A column of a load report: what one of its values means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportColumn {
-    /// Requests held.
+    /// Requests in flight at the server.
     Concurrent,
-    /// Requests waiting.
+    /// Requests that wait in its queue.
     Depth,
-    /// The fraction of the processors in use.
+    /// The fraction of its processors in use.
     LoadShare,
-    /// The recent service time.
+    /// Its recent mean service time in milliseconds.
     MeanMs,
-    /// Requests served in a second.
+    /// Requests served per second.
     Tps,
-    /// Errors in a second.
+    /// Errors per second.
     ErrPs,
-    /// One that this version does not know.
+    /// A column that this version does not know; its values are ignored.
     #[serde(other)]
     Unknown,
 }
 
 impl ReportColumn {
-    /// The column that a load report in a header or a probe's body calls by this name: the protocol's own
-    /// word for it, or the one that the settings use.
+    /// The column with this name in a load report, in a header or in a probe's body. Both the protocol's
+    /// names and those of the settings text are accepted.
     pub fn from_wire_name(name: &str) -> Self {
         match name {
             "inflight" | "concurrent" => ReportColumn::Concurrent,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Puts a value in its place. What is no finite number is left out.
+    /// Sets this column's value in a report. A value that is not finite counts as not reported.
     pub fn set(self, report: &mut LoadReport, value: f32) {
         let field = match self {
             ReportColumn::Concurrent => &mut report.in_flight,
@@ -95,12 +97,12 @@
     }
 }
 
-/// All that a node takes from its settings text.
+/// Everything that a node takes from its settings text.
 #[derive(Clone, Debug)]
 pub struct SiteSettings {
-    /// What the module is told.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// Which value of a load report is which.
+    /// The columns of a load report, in the order of its values.
     pub columns: Vec<ReportColumn>,
     /// The names of the classes, in the order of [`Settings::classes`].
     pub class_names: NameTable,
@@ -108,87 +110,94 @@
     pub tenant_names: NameTable,
     /// The names of the zones, in the order of their numbers.
     pub zone_names: Vec<String>,
-    /// The names of the machine kinds, in the order of their numbers.
+    /// The names of the machine types, in the order of their numbers.
     pub kind_names: Vec<String>,
-    /// A server closes a connection that has been idle for so long.
+    /// The time after which a server closes an idle keep-alive connection.
     pub server_idle_timeout: Duration,
-    /// Whether nodes may send one another messages.
+    /// Whether nodes may send messages to each other.
     pub peer_messages: bool,
 }
 
 impl SiteSettings {
-    /// Zones and machine kinds keep the numbers that they had under earlier settings, whose servers are listed.
-    pub fn keep_numbering(&mut self, earlier: &SiteSettings) {
-        let zone = self.zone_names.get(usize::from(self.settings.zone)).cloned();
-        for (names, before) in
-            [(&mut self.zone_names, &earlier.zone_names), (&mut self.kind_names, &earlier.kind_names)]
+    /// Renumbers zones and machine types so that each keeps the number that it had in the previous settings,
+    /// since the server list holds entries with those numbers. New names follow the previous ones.
+    pub fn keep_numbering(&mut self, previous: &SiteSettings) {
+        let zone_name = self.zone_names.get(usize::from(self.settings.zone)).cloned();
+        for (names, previous_names) in
+            [(&mut self.zone_names, &previous.zone_names), (&mut self.kind_names, &previous.kind_names)]
         {
-            let known: HashSet<&String> = before.iter().collect();
+            let known: HashSet<&String> = previous_names.iter().collect();
             let added = names.iter().filter(|name| !known.contains(name));
-            *names = before.iter().chain(added).cloned().collect();
+            *names = previous_names.iter().chain(added).cloned().collect();
         }
-        let zone = zone.and_then(|zone| self.zone_names.iter().position(|name| *name == zone));
-        self.settings.zone = zone.and_then(|zone| u8::try_from(zone).ok()).unwrap_or(self.settings.zone);
+        let number =
+            zone_name.and_then(|zone_name| self.zone_names.iter().position(|name| *name == zone_name));
+        self.settings.zone =
+            number.and_then(|number| u8::try_from(number).ok()).unwrap_or(self.settings.zone);
     }
 }
 
-/// New settings for a node that runs, and what its balancer has to know of them. All that takes long is done when it is
-/// made, which may be on another thread.
+/// New settings for a running node, with what its balancer needs to apply them. Creating this does all the
+/// expensive work, and may happen on another thread.
 pub struct SettingsUpdate {
     /// The new settings.
     pub site: Arc<SiteSettings>,
     /// The balancer's own copy of [`SiteSettings::settings`].
     pub settings: Box<Settings>,
-    /// For each class, where it stood in the settings before, if it did.
+    /// The index that each class had in the previous settings; `None` for a new class.
     pub previous_classes: Vec<Option<usize>>,
-    /// For each tenant, likewise.
+    /// The index that each tenant had in the previous settings; `None` for a new tenant.
     pub previous_tenants: Vec<Option<usize>>,
 }
 
 impl SettingsUpdate {
-    /// What replaces the settings `earlier`.
-    pub fn new(site: Arc<SiteSettings>, earlier: &SiteSettings) -> Self {
+    /// The update that replaces the `previous` settings by `site`.
+    pub fn new(site: Arc<SiteSettings>, previous: &SiteSettings) -> Self {
         SettingsUpdate {
             settings: Box::new(site.settings.clone()),
-            previous_classes: site.class_names.indices_in(&earlier.class_names),
-            previous_tenants: site.tenant_names.indices_in(&earlier.tenant_names),
+            previous_classes: site.class_names.indices_in(&previous.class_names),
+            previous_tenants: site.tenant_names.indices_in(&previous.tenant_names),
             site,
         }
     }
 }
 
-/// Zones and regions, as a configuration tells them: by name.
+/// Zones and regions as configured, by name.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZonesConfig {
-    /// The zones of each region; a zone that is in none is a region of its own.
+    /// The zones of each region. A zone that is in none forms a region of its own.
     #[serde(default)]
     pub regions: BTreeMap<String, Vec<String>>,
-    /// The time to a server of each zone and back, in ms, seen from this node; 0 for one that is not named.
+    /// The network round-trip time from this node to a server of each zone, in ms; 0 for a zone that is not
+    /// listed.
     #[serde(default)]
     pub latency_ms: BTreeMap<String, f64>,
-    /// So long the share of a zone that was left grows back, in s.
-    #[serde(default = "return_s")]
+    /// The time in which a failed-over zone's share of requests grows back, in s.
+    #[serde(default = "default_return_s")]
     pub return_s: f64,
-    /// So long an evacuation by hand lasts if nobody renews it, in s.
-    #[serde(default = "evacuation_s")]
+    /// The duration of an operator's evacuation that gives none itself, in s.
+    #[serde(default = "default_evacuation_s")]
     pub evacuation_s: f64,
 }
 
-fn return_s() -> f64 {
+fn default_return_s() -> f64 {
     20.0
 }
 
-fn evacuation_s() -> f64 {
+fn default_evacuation_s() -> f64 {
     900.0
 }
 
 impl ZonesConfig {
-    /// Whether all of it makes sense, or the first thing that does not.
+    /// Checks all values.
+    ///
+    /// # Errors
+    /// The first invalid value.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let mut seen = HashSet::new();
-        let twice = self.regions.values().flatten().find(|name| !seen.insert(*name));
-        if let Some(name) = twice {
+        let duplicate = self.regions.values().flatten().find(|name| !seen.insert(*name));
+        if let Some(name) = duplicate {
             return Err(SettingsError::DuplicateZone { name: name.to_string() });
         }
         let latencies =
@@ -203,28 +212,29 @@
         Ok(())
     }
 
-    /// The same by the numbers of the zones.
-    pub fn to_zones(&self, names: &[String]) -> Zones {
-        let mut region_of = HashMap::new();
+    /// The same, indexed by zone number. `zone_names` gives the zones in the order of their numbers.
+    pub fn to_zones(&self, zone_names: &[String]) -> Zones {
+        let mut region_by_zone = HashMap::new();
         for (region, zones) in self.regions.values().enumerate() {
             for zone in zones {
-                region_of.entry(zone).or_insert(region);
+                region_by_zone.entry(zone).or_insert(region);
             }
         }
-        let region = |(number, name): (usize, &String)| {
-            region_of.get(name).copied().unwrap_or(self.regions.len() + number) as u16
+        let region_of = |(number, name): (usize, &String)| {
+            region_by_zone.get(name).copied().unwrap_or(self.regions.len() + number) as u16
         };
         let round_trip = |name| millis(self.latency_ms.get(name).copied().unwrap_or_default());
         Zones {
-            round_trip: names.iter().map(round_trip).collect(),
-            region: names.iter().enumerate().map(region).collect(),
+            round_trip: zone_names.iter().map(round_trip).collect(),
+            region: zone_names.iter().enumerate().map(region_of).collect(),
             failback_time: millis(self.return_s * 1e3),
         }
     }
 }
 
-/// A number of milliseconds as a time; whatever is no time at all becomes zero or the longest kept.
+/// Converts milliseconds to a [`Duration`], rounded to microseconds. Negative values and NaN become zero, and
+/// values beyond the greatest supported duration become that one.
 pub fn millis(ms: f64) -> Duration {
-    const LONGEST_US: f64 = 1e18;
-    Duration::from_micros((ms * 1000.0).round().clamp(0.0, LONGEST_US) as u64)
+    const MAX_US: f64 = 1e18;
+    Duration::from_micros((ms * 1000.0).round().clamp(0.0, MAX_US) as u64)
 }
--- a/src/settings/text.rs
+++ b/src/settings/text.rs
@@ -1,5 +1,8 @@
-//! The settings text as it is written, in the wire's words, and its reading. Classes and tenants, of which there may be
-//! many, are taken in one at a time.
+//! The settings text as it is written, and its conversion into [`SiteSettings`].
+//!
+//! The structures here mirror the JSON text: a field's name is its key in snake case, and each time is in
+//! milliseconds. Classes and tenants, of which there may be many, are converted one at a time while the text
+//! is parsed.
 
 use super::{NameTable, ReportColumn, SettingsError, SiteSettings, millis};
 use crate::interface::*;
@@ -9,6 +12,7 @@
 use std::fmt;
 use std::marker::PhantomData;
 
+/// How far requests of a class may be retried; becomes [`RetrySafety`].
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Idempotency {
@@ -17,6 +21,7 @@
     SingleShot,
 }
 
+/// The scope of an idempotency key; becomes [`DedupScope`].
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Group {
@@ -26,6 +31,7 @@
     Cell,
 }
 
+/// How load reports are sent; becomes [`ReportSource`].
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Via {
@@ -35,14 +41,16 @@
     Silent,
 }
 
+/// Whether discovery pushes the server list or the node has to ask for it.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Mode {
+enum RegistryMode {
     #[default]
     Push,
     Ask,
 }
 
+/// Whether value is counted per request or per unit of work.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum CountedBy {
@@ -51,6 +59,7 @@
     Work,
 }
 
+/// An entry of `Classes`.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct RawClass<'a> {
@@ -69,10 +78,11 @@
     stream: bool,
     #[serde(default)]
     window: f64,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     credit: f64,
 }
 
+/// An entry of `Projects`.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct RawTenant<'a> {
@@ -84,85 +94,96 @@
     share: f64,
 }
 
-/// An entry of the settings that has a name.
-trait Named<'de>: Deserialize<'de> {
-    /// What is kept of it beside its name.
-    type Kept;
+/// An entry, with a name, of a list in the settings text.
+trait NamedEntry<'de>: Deserialize<'de> {
+    /// What it becomes in the settings; the name is stored apart.
+    type Converted;
     fn name(&self) -> &str;
-    fn keep(&self) -> Self::Kept;
+    fn convert(&self) -> Self::Converted;
 }
 
-impl<'de> Named<'de> for RawClass<'de> {
-    type Kept = Class;
+impl<'de> NamedEntry<'de> for RawClass<'de> {
+    type Converted = Class;
     fn name(&self) -> &str {
         &self.name
     }
-    fn keep(&self) -> Class {
+    fn convert(&self) -> Class {
         class(self)
     }
 }
 
-impl<'de> Named<'de> for RawTenant<'de> {
-    type Kept = Tenant;
+impl<'de> NamedEntry<'de> for RawTenant<'de> {
+    type Converted = Tenant;
     fn name(&self) -> &str {
         &self.name
     }
-    fn keep(&self) -> Tenant {
+    fn convert(&self) -> Tenant {
         Tenant { rate_limit_per_s: self.allowance_per_s, share: self.share }
     }
 }
 
-/// Entries with their names, taken in one at a time, so that the many of a large file never stand in memory twice.
-struct Listed<T> {
-    kept: Vec<T>,
+/// The entries of a list and their names.
+struct NamedList<T> {
+    entries: Vec<T>,
     names: NameTable,
 }
 
-impl<T> Default for Listed<T> {
+impl<T> Default for NamedList<T> {
     fn default() -> Self {
-        Listed { kept: Vec::new(), names: NameTable::default() }
+        NamedList { entries: Vec::new(), names: NameTable::default() }
     }
 }
 
-fn listed<'de, D: Deserializer<'de>, R: Named<'de>>(from: D) -> Result<Listed<R::Kept>, D::Error> {
-    struct Entries<R>(PhantomData<R>);
-    impl<'de, R: Named<'de>> Visitor<'de> for Entries<R> {
-        type Value = Listed<R::Kept>;
-        fn expecting(&self, out: &mut fmt::Formatter) -> fmt::Result {
-            out.write_str("a sequence")
+/// Deserializes a list and converts its entries one at a time, so that a large list is never in memory in
+/// both forms.
+fn named_list<'de, D: Deserializer<'de>, R: NamedEntry<'de>>(
+    deserializer: D,
+) -> Result<NamedList<R::Converted>, D::Error> {
+    struct NamedListVisitor<R>(PhantomData<R>);
+    impl<'de, R: NamedEntry<'de>> Visitor<'de> for NamedListVisitor<R> {
+        type Value = NamedList<R::Converted>;
+        fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+            formatter.write_str("a sequence")
         }
-        fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<Self::Value, A::Error> {
-            let mut listed = Listed::default();
-            while let Some(entry) = entries.next_element::<R>()? {
-                listed.names.read(entry.name())?;
-                listed.kept.push(entry.keep());
+        fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<Self::Value, A::Error> {
+            let mut list = NamedList::default();
+            while let Some(entry) = sequence.next_element::<R>()? {
+                list.names.push_deserialized(entry.name())?;
+                list.entries.push(entry.convert());
             }
-            listed.names.shrink();
-            listed.kept.shrink_to_fit();
-            Ok(listed)
+            list.names.shrink();
+            list.entries.shrink_to_fit();
+            Ok(list)
         }
     }
-    from.deserialize_seq(Entries::<R>(PhantomData))
+    deserializer.deserialize_seq(NamedListVisitor::<R>(PhantomData))
 }
 
+/// `LoadReport`.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-struct RawReport {
+struct RawLoadReport {
     columns: Vec<ReportColumn>,
     via: Via,
 }
 
+/// `Permissions`.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 struct RawLimits {
     attempts_cap: u32,
     cancel: bool,
     connect_timeout: f64,
+    /// The time after which a server closes an idle keep-alive connection.
     idle_close: f64,
+    /// Applies only where `retry_after` is true.
     max_retry_after: f64,
+    /// Whether hedging is allowed.
     parallel_tries: bool,
+    /// Whether nodes may send messages to each other.
     peers: bool,
     probes: bool,
+    /// Whether clients are told how long to wait after a refusal.
     retry_after: bool,
 }
 
@@ -182,6 +203,7 @@
     }
 }
 
+/// `Prices`.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 struct RawPrices {
@@ -189,10 +211,13 @@
     cross_zone: f64,
     waste: f64,
     late_fail: f64,
+    /// Deduction at 100 open connections to each server.
     connection: f64,
+    /// Deduction at one new connection per request.
     handshake: f64,
 }
 
+/// `Goal`.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 struct RawGoal {
@@ -202,14 +227,19 @@
     worst_window: f64,
 }
 
+/// `Rules`.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 struct RawRules {
+    /// Becomes [`Rules::list_refresh_interval`].
     must_ask_in: f64,
+    /// Becomes [`Rules::cold_capacity`].
     cold_from: f64,
     drain_grace: f64,
     overload_factor: f64,
+    /// Becomes [`Rules::warm_up_time`].
     ramp_time: f64,
+    /// Becomes [`Rules::overload_time`].
     tip_after: f64,
 }
 
@@ -226,10 +256,11 @@
     }
 }
 
+/// The whole settings text.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Raw {
-    #[serde(default = "one_node")]
+struct RawSettings {
+    #[serde(default = "default_nodes")]
     n_instances: u32,
     #[serde(default)]
     ordinal: u32,
@@ -239,16 +270,16 @@
     localities: Vec<String>,
     #[serde(default)]
     host_types: Vec<String>,
-    #[serde(deserialize_with = "listed::<_, RawClass>")]
-    classes: Listed<Class>,
-    #[serde(default, deserialize_with = "listed::<_, RawTenant>")]
-    projects: Listed<Tenant>,
-    #[serde(default = "one")]
+    #[serde(deserialize_with = "named_list::<_, RawClass>")]
+    classes: NamedList<Class>,
+    #[serde(default, deserialize_with = "named_list::<_, RawTenant>")]
+    projects: NamedList<Tenant>,
+    #[serde(default = "default_one")]
     over_share_worth: f64,
     #[serde(default)]
     counted_by: CountedBy,
     #[serde(default)]
-    load_report: RawReport,
+    load_report: RawLoadReport,
     #[serde(default)]
     permissions: RawLimits,
     #[serde(default)]
@@ -258,31 +289,34 @@
     #[serde(default)]
     goal: RawGoal,
     #[serde(default)]
-    registry_mode: Mode,
-    #[serde(default = "one")]
+    registry_mode: RegistryMode,
+    #[serde(default = "default_one")]
     quantum: f64,
 }
 
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
 
-fn one_node() -> u32 {
+fn default_nodes() -> u32 {
     1
 }
 
-/// Reads the settings text.
+/// Parses the settings text.
+///
+/// # Errors
+/// If it is not the JSON expected, or has no class.
 pub fn parse(text: &[u8]) -> Result<SiteSettings, SettingsError> {
-    let raw: Raw = serde_json::from_slice(text)?;
-    if raw.classes.kept.is_empty() {
+    let raw: RawSettings = serde_json::from_slice(text)?;
+    if raw.classes.entries.is_empty() {
         return Err(SettingsError::NoClasses);
     }
     let settings = Settings {
         nodes: raw.n_instances.max(1),
         node: raw.ordinal,
         zone: raw.zone,
-        classes: raw.classes.kept,
-        tenants: raw.projects.kept,
+        classes: raw.classes.entries,
+        tenants: raw.projects.entries,
         over_share_value: raw.over_share_worth,
         value_by_work: matches!(raw.counted_by, CountedBy::Work),
         report_source: match raw.load_report.via {
@@ -305,7 +339,7 @@
             worst_class: raw.goal.worst_class,
             worst_tenant: raw.goal.worst_tenant,
         },
-        list_on_request: matches!(raw.registry_mode, Mode::Ask),
+        list_on_request: matches!(raw.registry_mode, RegistryMode::Ask),
         timer_resolution: millis(raw.quantum),
         zones: None,
     };
