--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,5 +1,5 @@
-//! Nothing grows with requests that have ended or servers that have left. Alone in its process, so that the
-//! process's memory is the balancer's.
+//! The balancer's memory does not grow with requests that have ended or servers that have left the list.
+//! This is the only test of its process, so that the process's memory is the balancer's.
 
 mod module_harness;
 
@@ -7,15 +7,16 @@
 use module_harness::{entry, ms, probe_settings};
 use std::time::Duration;
 
-/// Resident memory in KiB, as Linux tells it.
-fn resident() -> Option<u64> {
+/// The resident memory of this process in KiB; `None` where there is no `/proc`.
+fn resident_kib() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Plays requests to an ever changing fleet; obeys sends and probes, and drops the rest.
-fn play(balancer: &mut Balancer, requests: std::ops::Range<u64>) {
+/// Sends requests while the server list keeps changing. Each attempt is served and each probe answered at
+/// once; other actions are ignored.
+fn run_requests(balancer: &mut Balancer, requests: std::ops::Range<u64>) {
     let mut actions = Vec::new();
     for number in requests {
         let now = ms(1000) + Duration::from_micros(number * 1500);
@@ -25,7 +26,7 @@
             balancer.handle(now, list, &mut actions);
         }
         let id = RequestId(number);
-        let new = NewRequest {
+        let request = NewRequest {
             id,
             class: 0,
             policy: None,
@@ -36,7 +37,7 @@
             cost: None,
             client_retry: false,
         };
-        balancer.handle(now, Event::Request(new), &mut actions);
+        balancer.handle(now, Event::Request(request), &mut actions);
         while let Some(action) = actions.pop() {
             let report = Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() });
             let (outcome, elapsed) = (Outcome::Served, ms(1));
@@ -63,12 +64,14 @@
 }
 
 #[test]
-fn memory_does_not_grow_with_what_has_passed() {
+fn memory_does_not_grow_with_ended_requests_and_removed_servers() {
     let mut balancer = Balancer::new(probe_settings(), 1);
-    play(&mut balancer, 1..20_000);
-    let Some(before) = resident() else { return eprintln!("no /proc here: not checked") };
-    play(&mut balancer, 20_000..150_000);
-    let grown = resident().unwrap_or(before).saturating_sub(before);
-    // One remembered request or server of a hundred bytes each would be 13 MB.
-    assert!(grown < 2048, "{grown} KiB more after 130,000 requests");
+    run_requests(&mut balancer, 1..20_000);
+    let Some(before) = resident_kib() else {
+        return eprintln!("not checked: /proc/self/status is not available");
+    };
+    run_requests(&mut balancer, 20_000..150_000);
+    let grown = resident_kib().unwrap_or(before).saturating_sub(before);
+    // 100 bytes kept for each request would be 13 MB.
+    assert!(grown < 2048, "memory grew by {grown} KiB over 130,000 requests");
 }
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -1,4 +1,4 @@
-//! A node that holds a subset of the list decides as if it held all of it.
+//! A node that holds a subset of the server list makes the same decisions as one that holds the whole list.
 
 mod module_harness;
 
@@ -11,96 +11,110 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const LISTED: u64 = 2_000;
-const HELD: usize = 128;
-/// Safe, unsafe, keyed in a cell and keyed everywhere. One keyed in a zone may be sent again to 64 servers of the zone where
-/// all are held, and to those of the part otherwise, which are fewer.
+/// Servers on the list.
+const LISTED_SERVERS: u64 = 2_000;
+/// The configured size of a subset: servers of a ring that a node holds from the first in use on.
+const SUBSET_SIZE: usize = 128;
+/// The classes whose decisions are the same with a subset: idempotent, non-idempotent, keyed with the scope
+/// of a cell and keyed with the scope of all servers. A request keyed with the scope of a zone may be
+/// retried at 64 servers of the zone where all are held, and otherwise at those of the subset, which are
+/// fewer.
 const CLASSES: [usize; 4] = [0, 1, 3, 4];
-const KEYED_IN_A_ZONE: usize = 2;
+/// The class keyed with the scope of a zone.
+const ZONE_KEYED: usize = 2;
 
-/// An attempt, a probe or a timer that comes to its end.
-enum Due {
+/// An attempt, a probe or a timer that is pending.
+enum Pending {
     Attempt { id: RequestId, attempt: u32, server: ServerId, sent: Duration },
     Probe { server: ServerId, sent: Duration },
     Timer(u64),
 }
 
-/// Two nodes that see the same requests and outcomes: one holds all of the list, one a subset.
-struct Pair {
+/// Two nodes that receive the same requests and outcomes: one holds the whole list, the other a subset.
+struct NodePair {
     now: Duration,
-    all: Balancer,
-    part: Balancer,
-    roster: ServerTable,
-    due: Vec<(Duration, Due)>,
+    whole_list: Balancer,
+    subset: Balancer,
+    server_table: ServerTable,
+    /// When each pending attempt, probe or timer ends.
+    pending: Vec<(Duration, Pending)>,
+    /// The number of attempts of each request.
     attempts: std::collections::BTreeMap<RequestId, u32>,
     sends: usize,
     random: Pcg32,
 }
 
-impl Pair {
+impl NodePair {
     fn new(settings: Settings) -> Self {
-        let part = Balancer::new(settings.clone(), 5);
-        Pair {
+        let subset = Balancer::new(settings.clone(), 5);
+        NodePair {
             now: ms(100_000),
-            all: Balancer::new(settings, 5),
-            roster: ServerTable::new(HELD, part.ring_layout()),
-            part,
-            due: Vec::new(),
+            whole_list: Balancer::new(settings, 5),
+            server_table: ServerTable::new(SUBSET_SIZE, subset.ring_layout()),
+            subset,
+            pending: Vec::new(),
             attempts: Default::default(),
             sends: 0,
             random: Pcg32::seed_from_u64(9),
         }
     }
 
-    fn draw(&mut self, below: u32) -> u32 {
-        self.random.next_u32() % below
+    fn random_below(&mut self, bound: u32) -> u32 {
+        self.random.next_u32() % bound
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
+    /// Reports news of the list to both nodes, each as it receives it; their actions must be the same.
+    fn update_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         let address = SocketAddr::from(([127, 0, 0, 1], 80));
         let backends = entries.iter().map(|entry| Backend { entry: *entry, address }).collect();
-        let told = self.roster.apply(ListUpdate { kind, backends }, self.part.ring_layout());
-        let subset: Vec<_> = told.update.backends.iter().map(|backend| backend.entry).collect();
+        let news = self.server_table.apply(ListUpdate { kind, backends }, self.subset.ring_layout());
+        let held_entries: Vec<_> = news.update.backends.iter().map(|backend| backend.entry).collect();
         let mut actions = Vec::new();
-        self.part.handle(self.now, Event::SubsetRings(told.rings), &mut actions);
+        self.subset.handle(self.now, Event::SubsetRings(news.rings), &mut actions);
         assert_eq!(actions, []);
-        self.part.handle(self.now, Event::List { kind: told.update.kind, entries: subset }, &mut actions);
+        self.subset.handle(
+            self.now,
+            Event::List { kind: news.update.kind, entries: held_entries },
+            &mut actions,
+        );
         let mut expected = Vec::new();
-        self.all.handle(self.now, Event::List { kind, entries }, &mut expected);
+        self.whole_list.handle(self.now, Event::List { kind, entries }, &mut expected);
         assert_eq!(actions, expected);
     }
 
-    fn tell(&mut self, event: Event) {
-        let (mut with_all, mut with_part) = (Vec::new(), Vec::new());
-        self.all.handle(self.now, event.clone(), &mut with_all);
-        self.part.handle(self.now, event, &mut with_part);
-        assert_eq!(with_all, with_part, "at {:?}", self.now);
-        for action in with_all {
-            self.obey(action);
+    /// Reports an event to both nodes, whose actions must be the same, and carries these out.
+    fn report(&mut self, event: Event) {
+        let (mut expected, mut actions) = (Vec::new(), Vec::new());
+        self.whole_list.handle(self.now, event.clone(), &mut expected);
+        self.subset.handle(self.now, event, &mut actions);
+        assert_eq!(expected, actions, "at {:?}", self.now);
+        for action in expected {
+            self.carry_out(action);
         }
     }
 
-    fn obey(&mut self, action: Action) {
+    fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { id, server, timeout } => {
                 let attempt = self.attempts.entry(id).or_default();
-                let due = Due::Attempt { id, attempt: *attempt, server, sent: self.now };
+                let pending = Pending::Attempt { id, attempt: *attempt, server, sent: self.now };
                 *attempt += 1;
                 self.sends += 1;
-                let after = ms(20 + u64::from(self.draw(60)));
-                self.due.push((self.now + after.min(timeout), due));
+                let after = ms(20 + u64::from(self.random_below(60)));
+                self.pending.push((self.now + after.min(timeout), pending));
             }
             Action::Probe { server } => {
-                self.due.push((self.now + ms(3), Due::Probe { server, sent: self.now }));
+                self.pending.push((self.now + ms(3), Pending::Probe { server, sent: self.now }));
             }
-            Action::SetTimer { after, token } => self.due.push((self.now + after, Due::Timer(token))),
+            Action::SetTimer { after, token } => self.pending.push((self.now + after, Pending::Timer(token))),
             _ => {}
         }
     }
 
-    /// One in eight servers fails half of its requests, another is full at times.
+    /// One server in eight fails half of its requests; another one in eight rejects a quarter, and another
+    /// fails a quarter of its connections.
     fn outcome(&mut self, server: ServerId) -> Outcome {
-        match (server.0 % 8, self.draw(4)) {
+        match (server.0 % 8, self.random_below(4)) {
             (0, 0 | 1) => Outcome::Error,
             (1, 0) => Outcome::Rejected,
             (2, 0) => Outcome::ConnectFailed,
@@ -108,22 +122,24 @@
         }
     }
 
-    fn pass(&mut self, time: Duration) {
+    /// Advances the time and ends what is due meanwhile.
+    fn advance(&mut self, time: Duration) {
         let end = self.now + time;
-        while let Some(at) =
-            (0..self.due.len()).min_by_key(|at| self.due[*at].0).filter(|at| self.due[*at].0 <= end)
+        while let Some(index) = (0..self.pending.len())
+            .min_by_key(|index| self.pending[*index].0)
+            .filter(|index| self.pending[*index].0 <= end)
         {
-            let (now, due) = self.due.remove(at);
+            let (now, pending) = self.pending.remove(index);
             self.now = self.now.max(now);
-            let load = f32::from(self.draw(3) as u16);
+            let load = f32::from(self.random_below(3) as u16);
             let report = Some(LoadReport { in_flight: Some(load), ..LoadReport::default() });
-            match due {
-                Due::Timer(token) => self.tell(Event::Timer { token }),
-                Due::Probe { server, sent } => {
+            match pending {
+                Pending::Timer(token) => self.report(Event::Timer { token }),
+                Pending::Probe { server, sent } => {
                     let (outcome, elapsed) = (Outcome::Served, self.now - sent);
-                    self.tell(Event::ProbeEnded(ProbeEnd { server, outcome, elapsed, report }));
+                    self.report(Event::ProbeEnded(ProbeEnd { server, outcome, elapsed, report }));
                 }
-                Due::Attempt { id, attempt, server, sent } => {
+                Pending::Attempt { id, attempt, server, sent } => {
                     let outcome = self.outcome(server);
                     let (elapsed, finished) = (self.now - sent, outcome == Outcome::Served);
                     let end = AttemptEnd {
@@ -136,108 +152,120 @@
                         report,
                         body_consumed: false,
                     };
-                    self.tell(Event::AttemptEnded(end));
+                    self.report(Event::AttemptEnded(end));
                 }
             }
         }
         self.now = end;
     }
 
-    fn requests(&mut self, count: u64) {
+    /// Sends requests of random classes at random intervals.
+    fn run_requests(&mut self, count: u64) {
         for _ in 0..count {
             let id = RequestId(self.attempts.len() as u64 + 1);
             self.attempts.insert(id, 0);
-            let class = CLASSES[self.draw(CLASSES.len() as u32) as usize];
-            self.tell(Event::Request(NewRequest { id, class, remaining: ms(1000), ..NewRequest::default() }));
-            let gap = u64::from(self.draw(12));
-            self.pass(ms(gap));
+            let class = CLASSES[self.random_below(CLASSES.len() as u32) as usize];
+            self.report(Event::Request(NewRequest {
+                id,
+                class,
+                remaining: ms(1000),
+                ..NewRequest::default()
+            }));
+            let gap_ms = u64::from(self.random_below(12));
+            self.advance(ms(gap_ms));
         }
     }
 }
 
-/// How many servers a node holds: those of its stretch of the ring, and the others of their cells.
-fn held_by(layout: RingLayout) -> usize {
-    let mut ring: Vec<_> = (0..LISTED).collect();
+/// The number of servers that a node should hold: those of its range of the ring, and the others of their
+/// cells.
+fn expected_held_count(layout: RingLayout) -> usize {
+    let mut ring: Vec<_> = (0..LISTED_SERVERS).collect();
     ring.sort_unstable_by_key(|n| ServerId(*n).ring_position());
-    let stretch = layout.held_range(ring.len(), HELD);
-    assert_eq!(stretch.length, HELD + HELD / 8);
-    let held = ring.iter().cycle().skip(stretch.start).take(stretch.length);
+    let range = layout.held_range(ring.len(), SUBSET_SIZE);
+    assert_eq!(range.length, SUBSET_SIZE + SUBSET_SIZE / 8);
+    let held = ring.iter().cycle().skip(range.start).take(range.length);
     let cells: std::collections::BTreeSet<_> = held.map(|n| n / 4).collect();
     4 * cells.len()
 }
 
-/// Four servers in a cell.
-fn listed(number: u64) -> ServerEntry {
+/// A warm server. Each cell has four servers.
+fn warm_server(number: u64) -> ServerEntry {
     ServerEntry { cell: (number / 4) as u16, ..entry(number) }
 }
 
-fn cold(number: u64, now: Duration) -> ServerEntry {
-    ServerEntry { started: Some(now), ..listed(number) }
+/// A server that started at this time.
+fn cold_server(number: u64, started: Duration) -> ServerEntry {
+    ServerEntry { started: Some(started), ..warm_server(number) }
 }
 
-fn rules(settings: Settings) -> Settings {
+/// The same settings with ten nodes and a slow start.
+fn with_slow_start(settings: Settings) -> Settings {
     let rules = Rules { cold_capacity: 0.2, warm_up_time: ms(20_000), ..settings.rules };
     Settings { nodes: 10, rules, ..settings }
 }
 
 #[test]
-fn any_node_of_a_tier_decides_as_if_it_held_all() {
-    // By this price a node uses forty of the servers.
+fn a_node_with_a_subset_decides_as_one_with_the_whole_list() {
+    // At this price of connections a node uses forty of the servers.
     let mut priced = piggyback_settings();
     priced.prices.connections = 5.0;
     for settings in [settings(), probe_settings(), piggyback_settings(), priced] {
         for node in [0, 1, 5, 9] {
-            let mut pair = Pair::new(Settings { node, ..rules(settings.clone()) });
+            let mut pair = NodePair::new(Settings { node, ..with_slow_start(settings.clone()) });
             let started = ms(95_000);
-            let entries = (0..LISTED).map(|n| if n % 3 == 0 { cold(n, started) } else { listed(n) });
-            pair.list(ListKind::Full, entries.collect());
-            pair.requests(600);
+            let entries = (0..LISTED_SERVERS)
+                .map(|n| if n % 3 == 0 { cold_server(n, started) } else { warm_server(n) });
+            pair.update_list(ListKind::Full, entries.collect());
+            pair.run_requests(600);
             assert!(pair.sends >= 500, "{}", pair.sends);
-            assert_eq!(pair.roster.held_count(), held_by(pair.part.ring_layout()));
+            assert_eq!(pair.server_table.held_count(), expected_held_count(pair.subset.ring_layout()));
         }
     }
 }
 
 #[test]
-fn servers_that_come_and_go_beyond_those_in_use_change_no_decision() {
-    // The first of the tier: its part begins with the ring, whatever its length.
-    let mut pair = Pair::new(Settings { node: 0, ..rules(probe_settings()) });
-    pair.list(ListKind::Full, (0..LISTED).map(listed).collect());
+fn list_changes_beyond_the_servers_in_use_change_no_decision() {
+    // The first node uses the servers from the start of the ring on, whatever the ring's length.
+    let mut pair = NodePair::new(Settings { node: 0, ..with_slow_start(probe_settings()) });
+    pair.update_list(ListKind::Full, (0..LISTED_SERVERS).map(warm_server).collect());
     for round in 0..20 {
-        pair.requests(40);
-        let gone = |n| ServerEntry { state: ServerState::Gone, ..listed(n) };
-        let beyond = |n: &u64| ServerId(*n).ring_position() > u64::MAX / 8;
-        let leave: Vec<_> = (round * 40..round * 40 + 40).filter(beyond).map(gone).collect();
-        let come = (0..20).map(|n| 5_000 + round * 20 + n).filter(beyond).map(listed);
-        pair.list(ListKind::Changes, leave.into_iter().chain(come).collect());
+        pair.run_requests(40);
+        let gone = |n| ServerEntry { state: ServerState::Gone, ..warm_server(n) };
+        let beyond_use = |n: &u64| ServerId(*n).ring_position() > u64::MAX / 8;
+        let removed: Vec<_> = (round * 40..round * 40 + 40).filter(beyond_use).map(gone).collect();
+        let added = (0..20).map(|n| 5_000 + round * 20 + n).filter(beyond_use).map(warm_server);
+        pair.update_list(ListKind::Changes, removed.into_iter().chain(added).collect());
     }
     assert!(pair.sends >= 600, "{}", pair.sends);
 }
 
 #[test]
-fn a_move_within_the_tier_is_no_news_from_discovery() {
-    // A node that has to ask for its list asks again when it would have, whatever part of it it holds.
+fn a_change_of_rank_is_not_taken_for_an_answer_from_discovery() {
+    // A node that has to request its list, and whose request failed, requests it again when its wait is
+    // over. A new subset after a change of rank brings a list event too, which must not end that wait.
     let mut settings = Settings { list_on_request: true, nodes: 10, ..settings() };
     settings.rules.list_refresh_interval = ms(4000);
     let (mut node, mut actions) = (Balancer::new(settings, 5), Vec::new());
-    let mut roster = ServerTable::new(HELD, node.ring_layout());
+    let mut server_table = ServerTable::new(SUBSET_SIZE, node.ring_layout());
     node.handle(ms(1000), Event::Timer { token: 1 }, &mut actions);
-    let asked = |actions: &[Action]| actions.iter().any(|it| matches!(it, Action::Subscribe { on: true }));
-    let list = ListUpdate { kind: ListKind::Failed, backends: Vec::new() };
-    roster.apply(list, node.ring_layout());
+    let subscribed =
+        |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Subscribe { on: true }));
+    let failed = ListUpdate { kind: ListKind::Failed, backends: Vec::new() };
+    server_table.apply(failed, node.ring_layout());
     node.handle(ms(1001), Event::List { kind: ListKind::Failed, entries: Vec::new() }, &mut actions);
-    assert!(!asked(&actions));
-    let tier = FleetView { live: 9, rank: 3, agreed: true, could_be_alive: 9 };
-    node.handle(ms(1002), Event::FleetView(tier), &mut actions);
-    let moved = roster.set_layout(node.ring_layout()).expect("another place");
+    assert!(!subscribed(&actions));
+    let fleet_view = FleetView { live: 9, rank: 3, agreed: true, could_be_alive: 9 };
+    node.handle(ms(1002), Event::FleetView(fleet_view), &mut actions);
+    let moved = server_table.set_layout(node.ring_layout()).expect("a new layout");
     assert_eq!(moved.update.kind, ListKind::Subset);
     node.handle(ms(1003), Event::SubsetRings(moved.rings), &mut actions);
     node.handle(ms(1003), Event::List { kind: moved.update.kind, entries: Vec::new() }, &mut actions);
     node.handle(ms(6000), Event::Timer { token: u64::MAX }, &mut actions);
-    assert!(asked(&actions), "{actions:?}");
+    assert!(subscribed(&actions), "{actions:?}");
 }
 
-/// The server of the only send among these actions.
+/// The server of the only [`Action::Send`] among these actions.
 fn sent_to(actions: &[Action]) -> ServerId {
     let sends = actions.iter().filter_map(|action| match action {
         Action::Send { server, .. } => Some(*server),
@@ -249,26 +277,26 @@
 }
 
 #[test]
-fn what_may_be_sent_again_within_a_zone_or_a_cell_finds_another_server_there() {
-    const KEYED_IN_A_CELL: usize = 3;
-    for class in [KEYED_IN_A_ZONE, KEYED_IN_A_CELL] {
+fn a_request_keyed_in_a_zone_or_a_cell_is_retried_at_another_server_there() {
+    const CELL_KEYED: usize = 3;
+    for class in [ZONE_KEYED, CELL_KEYED] {
         let mut node = Balancer::new(Settings { nodes: 10, node: 4, ..settings() }, 5);
-        let mut roster = ServerTable::new(HELD, node.ring_layout());
+        let mut server_table = ServerTable::new(SUBSET_SIZE, node.ring_layout());
         let address = SocketAddr::from(([127, 0, 0, 1], 80));
-        // Zones of twenty cells: the servers of a cell are in one zone.
-        let zoned = |n| ServerEntry { zone: (n / 80 % 3) as u8, ..listed(n) };
-        let backends = (0..LISTED).map(|n| Backend { entry: zoned(n), address }).collect();
-        let told = roster.apply(ListUpdate { kind: ListKind::Full, backends }, node.ring_layout());
+        // Zones change every twenty cells, so that all servers of a cell are in one zone.
+        let zoned = |n| ServerEntry { zone: (n / 80 % 3) as u8, ..warm_server(n) };
+        let backends = (0..LISTED_SERVERS).map(|n| Backend { entry: zoned(n), address }).collect();
+        let news = server_table.apply(ListUpdate { kind: ListKind::Full, backends }, node.ring_layout());
         let mut actions = Vec::new();
-        node.handle(ms(1000), Event::SubsetRings(told.rings), &mut actions);
-        let entries = told.update.backends.iter().map(|backend| backend.entry).collect();
-        node.handle(ms(1000), Event::List { kind: told.update.kind, entries }, &mut actions);
+        node.handle(ms(1000), Event::SubsetRings(news.rings), &mut actions);
+        let entries = news.update.backends.iter().map(|backend| backend.entry).collect();
+        node.handle(ms(1000), Event::List { kind: news.update.kind, entries }, &mut actions);
         for request in 1..=100 {
             let id = RequestId(request);
             let now = ms(1000 + 20 * request);
             actions.clear();
-            let new = NewRequest { id, class, remaining: ms(1000), ..NewRequest::default() };
-            node.handle(now, Event::Request(new), &mut actions);
+            let new_request = NewRequest { id, class, remaining: ms(1000), ..NewRequest::default() };
+            node.handle(now, Event::Request(new_request), &mut actions);
             let first = sent_to(&actions);
             actions.clear();
             let mut end = AttemptEnd {
@@ -286,9 +314,9 @@
                 continue;
             }
             let second = sent_to(&actions);
-            let place = |id: ServerId| (zoned(id.0).zone, zoned(id.0).cell);
-            assert!(second != first && place(second).0 == place(first).0);
-            assert!(class == KEYED_IN_A_ZONE || place(second) == place(first));
+            let zone_and_cell = |id: ServerId| (zoned(id.0).zone, zoned(id.0).cell);
+            assert!(second != first && zone_and_cell(second).0 == zone_and_cell(first).0);
+            assert!(class == ZONE_KEYED || zone_and_cell(second) == zone_and_cell(first));
             (end.attempt, end.server, end.outcome, end.finished) = (1, second, Outcome::Served, true);
             node.handle(now + ms(15), Event::AttemptEnded(end), &mut actions);
         }
