--- a/benches/settings.rs
+++ b/benches/settings.rs
@@ -1,6 +1,8 @@
-//! What many tenants and classes cost one real node: time and processor time until it is ready, memory, and what requests
-//! wait while SIGHUP has it take in a file of the same size. `cargo bench --bench settings` measures the node of this
-//! tree; `SILLWARDS=before=PATH,after=PATH` others, in one run, so that they can be held against one another.
+//! Measures what many tenants and classes cost one real node: time and processor time until it is ready,
+//! memory, and the latency of requests while SIGHUP makes it reload a configuration of the same size.
+//! `cargo bench --bench settings` measures the node built from this tree.
+//! `SILLWARDS=before=PATH,after=PATH` measures other binaries in one run, so that their results can be
+//! compared.
 
 use std::fs::{read_to_string, write};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,7 +13,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Tenants and classes.
+/// The numbers of tenants and of classes in each measurement.
 const SIZES: [(usize, usize); 8] = [
     (1, 2),
     (1_000, 2),
@@ -22,20 +24,22 @@
     (16_000, 1_000),
     (110_000, 22_000),
 ];
-/// A node that is not ready after so long is given up.
-const LONGEST_START: Duration = Duration::from_secs(40);
-/// Between two requests: 500 a second, five times as many as a node of the size to come is sent.
-const GAP: Duration = Duration::from_millis(2);
-/// How often the file is taken in; once where a start is slow.
-const CHANGES: usize = 8;
-const SLOW_START: Duration = Duration::from_secs(3);
-const CHANGES_OF_SLOW: usize = 1;
-/// For the system to have its memory back, and for the requests before a change.
-const REST: Duration = Duration::from_millis(700);
+/// The longest wait for a node to become ready or to reload its settings.
+const NODE_TIMEOUT: Duration = Duration::from_secs(40);
+/// Time between two requests: 500 a second, five times the rate of a node in the planned deployment.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(2);
+/// How often the node reloads its settings.
+const RELOADS: usize = 8;
+/// A node that takes longer than this to become ready reloads [`RELOADS_WHEN_SLOW`] times.
+const SLOW_READY: Duration = Duration::from_secs(3);
+const RELOADS_WHEN_SLOW: usize = 1;
+/// Pause before memory is read, so that freed memory is returned to the system, and before each reload, so
+/// that there are requests before it.
+const PAUSE: Duration = Duration::from_millis(700);
 
 type Failure = Box<dyn std::error::Error>;
 
-/// Reads a message without a body; false where the connection has ended.
+/// Reads the head of a message that has no body; false if the connection has ended.
 fn read_head(stream: &mut impl BufRead) -> bool {
     let mut line = String::new();
     while stream.read_line(&mut line).is_ok_and(|length| length > 0) {
@@ -48,7 +52,9 @@
 }
 
 /// Serves each connection on a thread of its own.
-fn serve(handle: impl Fn(BufReader<TcpStream>) + Clone + Send + 'static) -> Result<SocketAddr, Failure> {
+fn serve_connections(
+    handle: impl Fn(BufReader<TcpStream>) + Clone + Send + 'static,
+) -> Result<SocketAddr, Failure> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     spawn(move || {
@@ -60,31 +66,32 @@
     Ok(address)
 }
 
-fn backend(mut stream: BufReader<TcpStream>) {
+fn serve_backend(mut stream: BufReader<TcpStream>) {
     while read_head(&mut stream) {
-        let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-        if stream.get_mut().write_all(answer).is_err() {
+        let response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+        if stream.get_mut().write_all(response).is_err() {
             return;
         }
     }
 }
 
-/// Discovery: the list, and a sign of life for as long as somebody listens.
-fn agent(mut stream: BufReader<TcpStream>, backend: SocketAddr) {
+/// Serves a discovery watch: the whole list once, then heartbeats for as long as the watch is open.
+fn serve_watch(mut stream: BufReader<TcpStream>, backend: SocketAddr) {
     read_head(&mut stream);
     let entry = format!(
         r#"{{"name":"s","address":"{backend}","zone":"a","type":"m","group":1,"status":"in_service","weight":1.0,"since_ms":0}}"#
     );
-    let line = format!(r#"{{"index":8,"snapshot":true,"endpoints":[{entry}]}}"#) + "\n";
+    let list = format!(r#"{{"index":8,"snapshot":true,"endpoints":[{entry}]}}"#) + "\n";
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
-    let mut next = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&line));
+    let mut next = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&list));
     while stream.get_mut().write_all(next.as_bytes()).is_ok() {
         sleep(Duration::from_millis(500));
         next = chunk("\n");
     }
 }
 
-/// `round` says how often the file was replaced: the allowances change each time.
+/// The configuration for the given numbers of tenants and classes. `round` is how often it was replaced
+/// before: the tenants' rate limits differ in each round.
 fn config(discovery: SocketAddr, (tenants, classes): (usize, usize), round: usize) -> String {
     let tenant =
         |i| format!(r#"{{"Name":"tenant-{i:06}","AllowancePerS":{},"Share":0.00001}}"#, 1_000 + round);
@@ -102,11 +109,11 @@
     )
 }
 
-/// A node under measurement; it ends with this.
+/// A node under measurement. Its process is killed when this is dropped.
 struct Node {
     child: Child,
     config: PathBuf,
-    lines: Receiver<String>,
+    log_lines: Receiver<String>,
     started: Instant,
 }
 
@@ -127,45 +134,47 @@
         let started = Instant::now();
         let mut child = command.stderr(Stdio::piped()).spawn()?;
         let log = BufReader::new(child.stderr.take().ok_or("no log")?);
-        let (logged, lines) = channel();
-        spawn(move || log.lines().map_while(Result::ok).try_for_each(|line| logged.send(line)));
-        Ok(Node { child, config, lines, started })
+        let (line_sender, log_lines) = channel();
+        spawn(move || log.lines().map_while(Result::ok).try_for_each(|line| line_sender.send(line)));
+        Ok(Node { child, config, log_lines, started })
     }
 
-    /// Waits for a line of its log.
-    fn logged(&self, text: &str, longest: Duration) -> Result<String, Failure> {
-        let until = Instant::now() + longest;
+    /// Waits for a line of its log that contains the text.
+    fn wait_for_log(&self, text: &str, timeout: Duration) -> Result<String, Failure> {
+        let deadline = Instant::now() + timeout;
         loop {
-            let line = self.lines.recv_timeout(until.saturating_duration_since(Instant::now()))?;
+            let line = self.log_lines.recv_timeout(deadline.saturating_duration_since(Instant::now()))?;
             if line.contains(text) {
                 return Ok(line);
             }
         }
     }
 
-    /// Processor time until now, of the thread that serves.
-    fn processor(&self) -> Result<Duration, Failure> {
+    /// The processor time that its main thread, which serves requests, has used so far.
+    fn processor_time(&self) -> Result<Duration, Failure> {
         let stat = read_to_string(format!("/proc/{}/schedstat", self.child.id()))?;
         Ok(Duration::from_nanos(stat.split(' ').next().unwrap_or_default().parse()?))
     }
 
-    /// A figure of its memory, in MB.
-    fn memory(&self, key: &str) -> Result<f64, Failure> {
+    /// A value of its memory status in MiB, by its key in `/proc/PID/status`.
+    fn memory_mib(&self, key: &str) -> Result<f64, Failure> {
         let status = read_to_string(format!("/proc/{}/status", self.child.id()))?;
-        let line = status.lines().find(|line| line.starts_with(key)).ok_or("no such figure")?;
-        let kib: f64 = line.split_whitespace().nth(1).ok_or("no figure")?.parse()?;
+        let line =
+            status.lines().find(|line| line.starts_with(key)).ok_or("key is missing in /proc/PID/status")?;
+        let kib: f64 =
+            line.split_whitespace().nth(1).ok_or("value is missing in /proc/PID/status")?.parse()?;
         Ok(kib / 1024.0)
     }
 
-    fn hang_up(&self) -> Result<(), Failure> {
-        let id = self.child.id().to_string();
-        Command::new("kill").args(["-HUP", &id]).status()?.success().then_some(()).ok_or("no signal")?;
+    fn send_sighup(&self) -> Result<(), Failure> {
+        let pid = self.child.id().to_string();
+        Command::new("kill").args(["-HUP", &pid]).status()?.success().then_some(()).ok_or("kill failed")?;
         Ok(())
     }
 }
 
-/// One call over a connection that stays open: its status.
-fn call(stream: &mut BufReader<TcpStream>, head: &str) -> Result<u16, Failure> {
+/// Sends a request over a keep-alive connection and reads the response. Returns its status code.
+fn request(stream: &mut BufReader<TcpStream>, head: &str) -> Result<u16, Failure> {
     stream.get_mut().write_all(head.as_bytes())?;
     let (mut line, mut status, mut length) = (String::new(), 0, 0);
     loop {
@@ -183,104 +192,109 @@
     Ok(status)
 }
 
-/// When a request was due, and how long after that it had its answer.
+/// When a request was due to be sent, and the time from then to its answer.
 type Sample = (Instant, Duration);
 
-/// Sends requests at an even pace until it is told to end. One that is held up does not hold up the time of the next one.
-fn load(address: SocketAddr, (tenants, classes): (usize, usize), end: Receiver<()>) -> Vec<Sample> {
+/// Sends requests at a constant rate until `stop` receives a message. Latency is counted from the time at
+/// which a request was due, so that a delayed answer does not hide the delay of the requests after it.
+fn generate_load(address: SocketAddr, (tenants, classes): (usize, usize), stop: Receiver<()>) -> Vec<Sample> {
     let Ok(stream) = TcpStream::connect(address) else { return Vec::new() };
     let _ = stream.set_nodelay(true);
     let (mut stream, mut samples, mut due) = (BufReader::new(stream), Vec::new(), Instant::now());
-    while end.try_recv().is_err() {
+    while stop.try_recv().is_err() {
         sleep(due.saturating_duration_since(Instant::now()));
-        // Those whose names stand last, and others by turns.
+        // All classes and tenants in turn, beginning with the last ones.
         let (class, tenant) = (classes - 1 - samples.len() % classes, tenants - 1 - samples.len() % tenants);
         let head = format!(
             "GET /route-{class:05}/1 HTTP/1.1\r\nHost: n\r\nX-Call-Id: 1\r\nX-Budget-Ms: 5000\r\nX-Caller: tenant-{tenant:06}\r\n\r\n"
         );
-        match call(&mut stream, &head) {
-            // A refusal is an answer too, and waits as long.
+        match request(&mut stream, &head) {
+            // A refusal counts as an answer too, since it waits as long.
             Ok(200 | 503) => samples.push((due, due.elapsed())),
             other => {
-                eprintln!("a request was answered otherwise: {other:?}");
+                eprintln!("unexpected answer to a request: {other:?}");
                 return samples;
             }
         }
-        due += GAP;
+        due += REQUEST_INTERVAL;
     }
     samples
 }
 
-/// In ms; the part of all that waited no longer.
-fn quantile(samples: &[Duration], part: f64) -> f64 {
-    let mut sorted = samples.to_vec();
+/// A quantile of the latencies, in ms.
+fn quantile_ms(latencies: &[Duration], quantile: f64) -> f64 {
+    let mut sorted = latencies.to_vec();
     sorted.sort();
-    let place = ((sorted.len() as f64 * part).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
-    sorted.get(place).map_or(f64::NAN, |wait| wait.as_secs_f64() * 1e3)
+    let index = ((sorted.len() as f64 * quantile).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
+    sorted.get(index).map_or(f64::NAN, |latency| latency.as_secs_f64() * 1e3)
 }
 
 fn measure(name: &str, binary: &Path, size: (usize, usize)) -> Result<(), Failure> {
-    let backend = serve(backend)?;
-    let discovery = serve(move |stream| agent(stream, backend))?;
+    let backend = serve_connections(serve_backend)?;
+    let discovery = serve_connections(move |stream| serve_watch(stream, backend))?;
     let text = config(discovery, size, 0);
     let node = Node::start(binary, &text)?;
-    let listens = node.logged(" listens on ", LONGEST_START).map_err(|_| "never ready")?;
-    let address: SocketAddr = listens.rsplit(' ').next().unwrap_or_default().parse()?;
-    let mut probe = BufReader::new(TcpStream::connect(address)?);
-    while call(&mut probe, "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n")? != 200 {
+    let listen_line =
+        node.wait_for_log(" listens on ", NODE_TIMEOUT).map_err(|_| "did not start to listen in time")?;
+    let address: SocketAddr = listen_line.rsplit(' ').next().unwrap_or_default().parse()?;
+    let mut readiness = BufReader::new(TcpStream::connect(address)?);
+    while request(&mut readiness, "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n")? != 200 {
         sleep(Duration::from_millis(1));
     }
-    let (ready, processor) = (node.started.elapsed(), node.processor()?);
-    sleep(REST);
-    let (steady, peak) = (node.memory("VmRSS")?, node.memory("VmHWM")?);
+    let (ready_after, processor_time) = (node.started.elapsed(), node.processor_time()?);
+    sleep(PAUSE);
+    let (steady, peak) = (node.memory_mib("VmRSS")?, node.memory_mib("VmHWM")?);
 
-    let (end, ends) = channel();
-    let requests = spawn(move || load(address, size, ends));
+    let (stop_sender, stop) = channel();
+    let load = spawn(move || generate_load(address, size, stop));
+    // The start and end of each reload, with a margin of four requests after it.
     let mut windows = Vec::new();
-    let changes = if ready > SLOW_START { CHANGES_OF_SLOW } else { CHANGES };
-    for round in 1..=changes {
-        sleep(REST);
+    let reloads = if ready_after > SLOW_READY { RELOADS_WHEN_SLOW } else { RELOADS };
+    for round in 1..=reloads {
+        sleep(PAUSE);
         write(&node.config, config(discovery, size, round))?;
-        let begun = Instant::now();
-        node.hang_up()?;
-        node.logged("told to look again", LONGEST_START)?;
-        windows.push((begun, Instant::now() + 4 * GAP));
+        let start = Instant::now();
+        node.send_sighup()?;
+        node.wait_for_log("told to look again", NODE_TIMEOUT)?;
+        windows.push((start, Instant::now() + 4 * REQUEST_INTERVAL));
     }
-    sleep(REST);
-    let (steady_after, peak_after) = (node.memory("VmRSS")?, node.memory("VmHWM")?);
-    end.send(())?;
-    let samples = requests.join().map_err(|_| "the requests broke off")?;
-    let meets = |(due, wait): &Sample| windows.iter().any(|(from, to)| *due + *wait >= *from && due <= to);
-    let (during, apart): (Vec<_>, Vec<_>) = samples.into_iter().partition(meets);
-    let waits = |samples: Vec<Sample>| samples.into_iter().map(|(_, wait)| wait).collect::<Vec<_>>();
-    let (during, apart) = (waits(during), waits(apart));
-    let lasted: Duration = windows.iter().map(|(from, to)| *to - *from).sum();
+    sleep(PAUSE);
+    let (steady_after, peak_after) = (node.memory_mib("VmRSS")?, node.memory_mib("VmHWM")?);
+    stop_sender.send(())?;
+    let samples = load.join().map_err(|_| "the load generator panicked")?;
+    let overlaps_reload =
+        |(due, latency): &Sample| windows.iter().any(|(start, end)| *due + *latency >= *start && due <= end);
+    let (during, outside): (Vec<_>, Vec<_>) = samples.into_iter().partition(overlaps_reload);
+    let latencies =
+        |samples: Vec<Sample>| samples.into_iter().map(|(_, latency)| latency).collect::<Vec<_>>();
+    let (during, outside) = (latencies(during), latencies(outside));
+    let reload_time: Duration = windows.iter().map(|(start, end)| *end - *start).sum();
     println!(
         "| {name} | {} | {} | {:.1} | {:.2} | {:.2} | {steady:.1} ({peak:.1}) | {steady_after:.1} ({peak_after:.1}) | {:.0} | {} | {:.2} | {:.2} | {:.2} | {:.2} |",
         size.0,
         size.1,
         text.len() as f64 / 1e6,
-        ready.as_secs_f64(),
-        processor.as_secs_f64(),
-        lasted.as_secs_f64() * 1e3 / changes as f64,
+        ready_after.as_secs_f64(),
+        processor_time.as_secs_f64(),
+        reload_time.as_secs_f64() * 1e3 / reloads as f64,
         during.len(),
-        quantile(&apart, 0.99),
-        quantile(&during, 0.5),
-        quantile(&during, 0.99),
-        quantile(&during, 1.0),
+        quantile_ms(&outside, 0.99),
+        quantile_ms(&during, 0.5),
+        quantile_ms(&during, 0.99),
+        quantile_ms(&during, 1.0),
     );
     Ok(())
 }
 
 fn main() {
-    let named =
+    let binaries =
         std::env::var("SILLWARDS").unwrap_or_else(|_| format!("this={}", env!("CARGO_BIN_EXE_sillward")));
     println!(
-        "| node | tenants | classes | file MB | ready s | processor s | memory MB (peak) | after changes (peak) | change ms | requests meanwhile | else p99 ms | p50 ms | p99 ms | longest ms |"
+        "| node | tenants | classes | file MB | ready s | processor s | memory MiB (peak) | after reloads (peak) | reload ms | requests during reloads | p99 ms otherwise | p50 ms | p99 ms | max ms |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for size in SIZES {
-        for (name, binary) in named.split(',').filter_map(|binary| binary.split_once('=')) {
+        for (name, binary) in binaries.split(',').filter_map(|binary| binary.split_once('=')) {
             if let Err(failure) = measure(name, Path::new(binary), size) {
                 println!("| {name} | {} | {} | {failure} |", size.0, size.1);
             }
