--- a/src/interface.rs
+++ b/src/interface.rs
@@ -114,7 +114,7 @@
     /// The zone works.
     #[default]
     Healthy,
-    /// Most of its servers fail. It gets a small share of requests, as trials.
+    /// Most of its servers fail while another zone works. It gets a small share of requests, as trials.
     FailedOver,
     /// It works again, and its share grows back over [`Zones::failback_time`] or longer.
     FailingBack,
@@ -172,7 +172,8 @@
 pub enum RetrySafety {
     /// It may be retried without restriction.
     Idempotent,
-    /// It carries an idempotency key: servers drop duplicates within a scope, for a retention time.
+    /// It carries an idempotency key, by which servers drop duplicates. It may be retried within the scope
+    /// and the retention time of the key.
     Keyed {
         /// The servers that share the record of keys.
         scope: DedupScope,
@@ -240,11 +241,12 @@
     pub cold_capacity: f64,
     /// The longest time until a started server has its full capacity.
     pub warm_up_time: Duration,
-    /// A cold server fails if it receives more than this multiple of its present capacity ...
+    /// A cold server fails from overload if it is sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this long.
     pub overload_time: Duration,
-    /// Where the list has to be requested: the longest time without a request or a subscription.
+    /// Where the list has to be requested: the longest time that may pass without a request for it or a
+    /// subscription to it.
     pub list_refresh_interval: Duration,
 }
 
@@ -527,7 +529,7 @@
         /// The longest duration, from now; `None` ends the evacuation.
         duration: Option<Duration>,
     },
-    /// A message from another node.
+    /// A message from another node. [`Balancer`](crate::Balancer) ignores it.
     PeerMessage {
         /// The sender's node number.
         from: u32,
@@ -579,7 +581,7 @@
         /// The server.
         server: ServerId,
     },
-    /// Close the idle keep-alive connections to a server.
+    /// Close the idle keep-alive connections to a server. [`Balancer`](crate::Balancer) never returns this.
     CloseIdle {
         /// The server.
         server: ServerId,
@@ -589,9 +591,9 @@
         /// Whether to subscribe.
         on: bool,
     },
-    /// Request the whole server list once.
+    /// Request the whole server list once. [`Balancer`](crate::Balancer) never returns this.
     FetchList,
-    /// Send a message to one other node, or to all of them.
+    /// Send a message to one other node, or to all of them. [`Balancer`](crate::Balancer) never returns this.
     SendToPeer {
         /// The receiver's node number; `None` for all nodes.
         to: Option<u32>,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -23,16 +23,16 @@
     /// gives the position.
     #[error("bad settings: {0}")]
     Syntax(#[from] serde_json::Error),
-    /// There is no class, and each request needs one.
+    /// There is no class; each request needs one, so add at least one.
     #[error("bad settings: Classes = []: expected one class at least")]
     NoClasses,
-    /// A zone is listed more than once, while a zone belongs to one region.
+    /// A zone is listed more than once; each zone belongs to exactly one region.
     #[error("zones.regions: {name:?} stands in two places; expected each zone once")]
     DuplicateZone {
         /// The zone's name.
         name: String,
     },
-    /// A time is out of range.
+    /// A time is out of range; the message gives the range.
     #[error("zones.{key} = {value}: expected {least} to {most}")]
     ZoneTimeOutOfRange {
         /// Its key within `zones`.
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -91,8 +91,9 @@
 
     /// The index of a name: the first one if it occurs more than once.
     pub fn position(&self, name: &str) -> Option<usize> {
-        let found = self.first_indices.find(hash_name(name), |index| self.get(*index as usize) == Some(name));
-        found.map(|index| *index as usize)
+        let first_index =
+            self.first_indices.find(hash_name(name), |index| self.get(*index as usize) == Some(name));
+        first_index.map(|index| *index as usize)
     }
 
     /// The name with this index.
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of name tables and numbering, with so many names that comparing each with all others would not finish.
+//! Tests of name tables and numbering, with so many names that comparing each with all others would not
+//! finish.
 
 use super::*;
 
--- a/src/settings/text.rs
+++ b/src/settings/text.rs
@@ -65,19 +65,25 @@
 struct RawClass<'a> {
     #[serde(default, borrow)]
     name: Cow<'a, str>,
+    /// Becomes [`Class::target_stretch`].
     #[serde(default)]
     aim_stretch: f64,
+    /// Becomes [`Class::latency_target`].
     target: f64,
+    /// Becomes [`Class::deadline`].
     give_up: f64,
     idempotency: Idempotency,
     #[serde(default)]
     group: Group,
+    /// Becomes [`Class::late_value`].
     #[serde(default)]
     late_worth: f64,
     #[serde(default)]
     stream: bool,
+    /// The retention time of an idempotency key.
     #[serde(default)]
     window: f64,
+    /// Becomes [`Class::value`].
     #[serde(default = "default_one")]
     credit: f64,
 }
@@ -88,6 +94,7 @@
 struct RawTenant<'a> {
     #[serde(default, borrow)]
     name: Cow<'a, str>,
+    /// Becomes [`Tenant::rate_limit_per_s`].
     #[serde(default)]
     allowance_per_s: f64,
     #[serde(default)]
@@ -262,16 +269,20 @@
 struct RawSettings {
     #[serde(default = "default_nodes")]
     n_instances: u32,
+    /// This node's number.
     #[serde(default)]
     ordinal: u32,
     #[serde(default)]
     zone: u8,
+    /// The names of the zones.
     #[serde(default)]
     localities: Vec<String>,
+    /// The names of the machine types.
     #[serde(default)]
     host_types: Vec<String>,
     #[serde(deserialize_with = "named_list::<_, RawClass>")]
     classes: NamedList<Class>,
+    /// The tenants.
     #[serde(default, deserialize_with = "named_list::<_, RawTenant>")]
     projects: NamedList<Tenant>,
     #[serde(default = "default_one")]
@@ -290,6 +301,7 @@
     goal: RawGoal,
     #[serde(default)]
     registry_mode: RegistryMode,
+    /// Becomes [`Settings::timer_resolution`].
     #[serde(default = "default_one")]
     quantum: f64,
 }
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -257,10 +257,10 @@
     assert!(!subscribed(&actions));
     let fleet_view = FleetView { live: 9, rank: 3, agreed: true, could_be_alive: 9 };
     node.handle(ms(1002), Event::FleetView(fleet_view), &mut actions);
-    let moved = server_table.set_layout(node.ring_layout()).expect("a new layout");
-    assert_eq!(moved.update.kind, ListKind::Subset);
-    node.handle(ms(1003), Event::SubsetRings(moved.rings), &mut actions);
-    node.handle(ms(1003), Event::List { kind: moved.update.kind, entries: Vec::new() }, &mut actions);
+    let news = server_table.set_layout(node.ring_layout()).expect("a new layout");
+    assert_eq!(news.update.kind, ListKind::Subset);
+    node.handle(ms(1003), Event::SubsetRings(news.rings), &mut actions);
+    node.handle(ms(1003), Event::List { kind: news.update.kind, entries: Vec::new() }, &mut actions);
     node.handle(ms(6000), Event::Timer { token: u64::MAX }, &mut actions);
     assert!(subscribed(&actions), "{actions:?}");
 }
