--- a/src/bin/sillward/body.rs
+++ b/src/bin/sillward/body.rs
@@ -1,5 +1,5 @@
-//! Bodies that are longer than the node keeps. They pass through in pieces: who reads slowly is a brake on who
-//! writes, and no more of them is held than the pieces on their way.
+//! Streamed bodies: those that are too long to buffer. They pass through chunk by chunk with backpressure: a
+//! slow reader slows the writer down, and only the chunks in transit are held in memory.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -13,60 +13,64 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// The most bytes of a body that are kept, either way.
+/// Bodies up to this length are buffered, in both directions; longer ones are streamed.
 pub const MAX_BUFFERED_BYTES: usize = hillpick::control::config::MAX_BUFFERED_BODY_BYTES;
-/// No body of a request is longer: the operators' days have none over 32 MB.
-pub const LONGEST: u64 = 32 << 20;
-/// A peer may be silent for so long in the midst of a message.
-pub const SILENCE: Duration = Duration::from_millis(2500);
-/// Bytes come at 64 kB a second or more. Silence is earned again at a quarter of that: a trickle is no progress.
-const SLOWEST: f64 = 16_000.0;
-/// Who has not taken a piece after so long takes no more, and who has not sent one sends no more.
+/// Longest request body that is accepted: the operators' traffic has none over 32 MB.
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
+/// How long a peer may be idle in the middle of a message.
+pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Rate at which received bytes earn back idle time. Bodies arrive at 64 kB/s or more; at a quarter of that a
+/// trickle does not count as progress.
+const MIN_BYTES_PER_S: f64 = 16_000.0;
+/// A reader that has taken no chunk for this long, or a sender that has sent none, is given up.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a client that sends a body may still be silent.
+/// How long the sender of a request body may still be idle. Received bytes earn idle time back, up to
+/// [`IDLE_TIMEOUT`].
 pub struct IdleBudget(Duration);
 
 impl IdleBudget {
+    /// A budget that, if nothing arrives, lasts until `end`.
     pub fn until(end: Instant) -> Self {
         IdleBudget(end.saturating_duration_since(Instant::now()))
     }
 
-    pub fn left(&self) -> Duration {
+    /// The idle time that is left.
+    pub fn remaining(&self) -> Duration {
         self.0
     }
 
-    /// It was waited for so long, and so much came.
-    pub fn came(&mut self, waited: Duration, bytes: usize) {
-        let earned = Duration::from_secs_f64(bytes as f64 / SLOWEST);
-        self.0 = (self.0.saturating_sub(waited) + earned).min(SILENCE);
+    /// Records that `bytes` arrived after a wait of `waited`.
+    pub fn record(&mut self, waited: Duration, bytes: usize) {
+        let earned = Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_S);
+        self.0 = (self.0.saturating_sub(waited) + earned).min(IDLE_TIMEOUT);
     }
 }
 
-/// Why a body ends before its end.
+/// Why a body could not be read to its end.
 #[derive(Debug)]
-pub enum Broken {
-    /// Who sends it has fallen silent.
-    Silent,
-    /// It is longer than any may be.
-    Long,
-    /// Its connection has broken.
-    Gone,
+pub enum BodyError {
+    /// Its sender was idle for too long.
+    IdleSender,
+    /// It is longer than [`MAX_BODY_BYTES`].
+    TooLong,
+    /// The connection that it came on broke.
+    Disconnected,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for BodyError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
-            Broken::Silent => "its sender is silent",
-            Broken::Long => "it is too long",
-            Broken::Gone => "its connection broke",
+            BodyError::IdleSender => "the body's sender is idle",
+            BodyError::TooLong => "the body is too long",
+            BodyError::Disconnected => "the body's connection broke",
         })
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for BodyError {}
 
-/// What an attempt writes after the head of its request.
+/// The request body that an attempt writes.
 pub enum AttemptBody {
     Buffered(Full<Bytes>),
     Streamed(Box<Upload>),
@@ -74,12 +78,12 @@
 
 impl Body for AttemptBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut *self {
             AttemptBody::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
             AttemptBody::Streamed(body) => Pin::new(&mut **body).poll_frame(cx),
@@ -89,7 +93,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             AttemptBody::Buffered(body) => body.is_end_stream(),
-            AttemptBody::Streamed(body) => body.arrived.is_none(),
+            AttemptBody::Streamed(body) => body.on_last_byte.is_none(),
         }
     }
 
@@ -101,61 +105,64 @@
     }
 }
 
-/// A long request body on its way from the client. It is read once, by whoever holds it.
+/// A streamed request body on its way from the client. It is read once, by the attempt that holds it.
 pub struct Upload {
-    /// What has been read of it already, and the room that this takes.
-    start: Bytes,
-    room: Option<OwnedSemaphorePermit>,
+    /// The part that was read before streaming began, and the buffer memory reserved for it.
+    prefix: Bytes,
+    buffer_permit: Option<OwnedSemaphorePermit>,
     rest: Option<Incoming>,
-    passed: u64,
-    patience: IdleBudget,
-    waiting: Option<(Instant, Pin<Box<Sleep>>)>,
-    /// Whether its last byte has come; and until then, what tells of it.
-    read: Rc<Cell<bool>>,
-    arrived: Option<Box<dyn FnOnce()>>,
-    /// What is left unread goes back to the client's side when this is dropped.
-    back: Option<oneshot::Sender<(Incoming, IdleBudget)>>,
+    total_bytes: u64,
+    idle_budget: IdleBudget,
+    idle_timer: Option<(Instant, Pin<Box<Sleep>>)>,
+    /// Whether the last byte has arrived, and the callback to run when it does.
+    fully_read: Rc<Cell<bool>>,
+    on_last_byte: Option<Box<dyn FnOnce()>>,
+    /// On drop, returns the unread rest to the frontend.
+    return_unread: Option<oneshot::Sender<(Incoming, IdleBudget)>>,
 }
 
 impl Upload {
+    /// A body that begins with the buffered `prefix`, and the channel that returns what stays unread of
+    /// `rest`.
     pub fn new(
-        (start, room): (Bytes, Option<OwnedSemaphorePermit>),
+        (prefix, buffer_permit): (Bytes, Option<OwnedSemaphorePermit>),
         rest: Incoming,
-        patience: IdleBudget,
-        arrived: Box<dyn FnOnce()>,
+        idle_budget: IdleBudget,
+        on_last_byte: Box<dyn FnOnce()>,
     ) -> (Self, oneshot::Receiver<(Incoming, IdleBudget)>) {
-        let (back, unread) = oneshot::channel();
+        let (return_unread, unread) = oneshot::channel();
         let upload = Upload {
-            passed: start.len() as u64,
-            start,
-            room,
+            total_bytes: prefix.len() as u64,
+            prefix,
+            buffer_permit,
             rest: Some(rest),
-            patience,
-            waiting: None,
-            read: Rc::default(),
-            arrived: Some(arrived),
-            back: Some(back),
+            idle_budget,
+            idle_timer: None,
+            fully_read: Rc::default(),
+            on_last_byte: Some(on_last_byte),
+            return_unread: Some(return_unread),
         };
         (upload, unread)
     }
 
+    /// A flag that becomes true once the last byte has arrived.
     pub fn fully_read(&self) -> Rc<Cell<bool>> {
-        self.read.clone()
+        self.fully_read.clone()
     }
 
-    /// Its last byte has come, and has been passed on with this piece or before it.
-    fn end(&mut self) {
-        self.read.set(true);
-        if let Some(tell) = self.arrived.take() {
-            tell();
+    /// The last byte has arrived, and is passed on with the current chunk or was before.
+    fn finish(&mut self) {
+        self.fully_read.set(true);
+        if let Some(on_last_byte) = self.on_last_byte.take() {
+            on_last_byte();
         }
     }
 
-    /// How much is to come, with what has been read already.
+    /// The length that is still to be written, the buffered prefix included.
     fn size_hint(&self) -> SizeHint {
         let rest = self.rest.as_ref().map(Incoming::size_hint).unwrap_or_default();
         match rest.exact() {
-            Some(exact) => SizeHint::with_exact(exact + self.start.len() as u64),
+            Some(exact) => SizeHint::with_exact(exact + self.prefix.len() as u64),
             None => SizeHint::default(),
         }
     }
@@ -163,39 +170,39 @@
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        if !self.start.is_empty() {
-            self.room = None;
-            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.start)))));
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        if !self.prefix.is_empty() {
+            self.buffer_permit = None;
+            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.prefix)))));
         }
         let Some(rest) = &mut self.rest else { return Poll::Ready(None) };
         let frame = match Pin::new(rest).poll_frame(cx) {
             Poll::Ready(frame) => frame,
             Poll::Pending => {
-                let left = self.patience.left();
+                let remaining = self.idle_budget.remaining();
                 let now = Instant::now();
-                let (_, silent) =
-                    self.waiting.get_or_insert_with(|| (now, Box::pin(sleep_until(now + left))));
-                ready!(silent.as_mut().poll(cx));
-                return Poll::Ready(Some(Err(Broken::Silent)));
+                let (_, timer) =
+                    self.idle_timer.get_or_insert_with(|| (now, Box::pin(sleep_until(now + remaining))));
+                ready!(timer.as_mut().poll(cx));
+                return Poll::Ready(Some(Err(BodyError::IdleSender)));
             }
         };
-        let waited = self.waiting.take().map_or(Duration::ZERO, |(since, _)| since.elapsed());
+        let waited = self.idle_timer.take().map_or(Duration::ZERO, |(since, _)| since.elapsed());
         let Some(frame) = frame else {
-            self.end();
+            self.finish();
             return Poll::Ready(None);
         };
-        let Ok(frame) = frame else { return Poll::Ready(Some(Err(Broken::Gone))) };
-        // Trailers say nothing that a roster server is told.
+        let Ok(frame) = frame else { return Poll::Ready(Some(Err(BodyError::Disconnected))) };
+        // Trailers are dropped: backends need none.
         let data = frame.into_data().unwrap_or_default();
-        self.patience.came(waited, data.len());
-        self.passed += data.len() as u64;
-        if self.passed > LONGEST {
-            return Poll::Ready(Some(Err(Broken::Long)));
+        self.idle_budget.record(waited, data.len());
+        self.total_bytes += data.len() as u64;
+        if self.total_bytes > MAX_BODY_BYTES {
+            return Poll::Ready(Some(Err(BodyError::TooLong)));
         }
-        // With a length given, nobody asks again after the last piece.
+        // If the length is known, the body is not polled again after its last chunk.
         if self.rest.as_ref().is_some_and(Incoming::is_end_stream) {
-            self.end();
+            self.finish();
         }
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
@@ -203,41 +210,42 @@
 
 impl Drop for Upload {
     fn drop(&mut self) {
-        let unread = self.rest.take().filter(|_| self.arrived.is_some());
-        if let (Some(rest), Some(back)) = (unread, self.back.take()) {
-            let _ = back.send((rest, IdleBudget(self.patience.0))); // or the client has left
+        let unread = self.rest.take().filter(|_| self.on_last_byte.is_some());
+        if let (Some(rest), Some(return_unread)) = (unread, self.return_unread.take()) {
+            // Fails if the client has disconnected.
+            let _ = return_unread.send((rest, IdleBudget(self.idle_budget.0)));
         }
     }
 }
 
-/// A piece of a long answer. Without an `End` the answer is broken.
+/// A chunk of a streamed response. A channel that closes without an `End` means that the response broke off.
 pub enum BodyChunk {
     Data(Bytes),
     End,
 }
 
-/// A long answer on its way to the client, and what lasts for as long as it is.
+/// A streamed response on its way to the client, with a guard that is dropped together with it.
 pub struct Download<T> {
-    pub pieces: mpsc::Receiver<BodyChunk>,
+    pub chunks: mpsc::Receiver<BodyChunk>,
     pub length: Option<u64>,
-    pub lasts: T,
+    pub guard: T,
 }
 
 impl<T: Unpin> Body for Download<T> {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        Poll::Ready(match ready!(self.pieces.poll_recv(cx)) {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        Poll::Ready(match ready!(self.chunks.poll_recv(cx)) {
             Some(BodyChunk::Data(data)) => {
                 self.length = self.length.map(|length| length.saturating_sub(data.len() as u64));
                 Some(Ok(Frame::data(data)))
             }
             Some(BodyChunk::End) => None,
-            None => Some(Err(Broken::Gone)),
+            None => Some(Err(BodyError::Disconnected)),
         })
     }
 
--- a/src/bin/sillward/client.rs
+++ b/src/bin/sillward/client.rs
@@ -1,111 +1,125 @@
-//! A client's connection as it stands: when bytes moved on it, and whether it holds a request.
+//! The state of a client's connection: when bytes last moved on it, and whether a request is in progress.
 
-use crate::body::{SILENCE, STALL_TIMEOUT};
+use crate::body::{IDLE_TIMEOUT, STALL_TIMEOUT};
 use crate::liveness::Liveness;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Anyone may connect, and is owed an error or an end within 3 s of that: so long the first request may be without
-/// progress, or a later head in all. A connection that has been idle for so long may be closed as well.
-pub const READ_TIMEOUT: Duration = SILENCE;
+/// How long the first request on a connection may make no progress, and how long a later request head may
+/// take in all. Any peer may connect, and must get an error or a close within 3 s of that. A connection that
+/// has been idle for this long may be closed as well.
+pub const READ_TIMEOUT: Duration = IDLE_TIMEOUT;
 
-/// A client's connection, as it stands.
+/// The state of a client's connection.
 pub struct Client {
+    /// When it was accepted.
     pub connected: Instant,
-    /// Whether a request has come on it.
-    pub asked: Cell<bool>,
-    /// Since when no request of it is held.
-    pub idle: Cell<Option<Instant>>,
-    /// Since when part of a further request has come.
-    pub begun: Cell<Option<Instant>>,
-    /// The request that it holds is being answered with what passes through: from here on the pace is the client's.
-    pub passing: Cell<bool>,
-    /// When bytes last moved on it, either way.
-    pub moved: Cell<Instant>,
-    /// It is to make room, and has been told so.
+    /// Whether a request has been received on it.
+    pub had_request: Cell<bool>,
+    /// Since when no request is in progress; `None` while one is.
+    pub idle_since: Cell<Option<Instant>>,
+    /// When the first bytes of the next request arrived, if they have.
+    pub next_begun: Cell<Option<Instant>>,
+    /// Whether the request in progress is answered with a streamed body: from here on the client sets the
+    /// pace.
+    pub streaming: Cell<bool>,
+    /// When bytes last moved on it, in either direction.
+    pub last_activity: Cell<Instant>,
+    /// Whether it was told to close, to make room for other connections.
     pub shed: Cell<bool>,
+    /// Tells the connection to close, as [`Client::close_mode`] allows.
     pub close: Notify,
     pub liveness: Liveness,
 }
 
-/// What is to be done about a connection that sends nothing.
-pub enum Lapse {
-    /// Look again then.
-    Later(Instant),
-    /// It is between requests, and may be closed.
-    Leave,
-    /// It has had its time for a request, or for reading an answer.
-    Cut,
+/// What a connection's timeouts require now.
+pub enum TimeoutAction {
+    /// Nothing; check again at this time.
+    CheckAgain(Instant),
+    /// It is idle between requests, or its next head is slow: close it gracefully.
+    CloseGracefully,
+    /// The client took too long to send its first request, or to read a response: close it at once.
+    CloseNow,
 }
 
-/// How a connection that is told to close does so.
+/// How a connection that is told to close closes.
 #[derive(Debug, PartialEq)]
-pub enum Leaves {
-    /// At once: before its first request has come whole there is no good order to close it in.
-    Now,
-    /// With the answer to what it holds, or at once if it holds nothing.
-    InOrder,
-    /// Not yet: part of a request has come, and there is time for the rest.
-    Later,
+pub enum CloseMode {
+    /// At once: before the first request is complete no graceful close is possible.
+    Immediate,
+    /// After the response to the request in progress, or at once if there is none.
+    Graceful,
+    /// Not yet: part of a request has arrived, and there is time for the rest.
+    Deferred,
 }
 
 impl Client {
+    /// A connection that has just been accepted.
     pub fn new(liveness: Liveness) -> Self {
         let now = Instant::now();
         Client {
             connected: now,
-            asked: Cell::new(false),
-            idle: Cell::new(Some(now)),
-            begun: Cell::new(None),
-            passing: Cell::new(false),
-            moved: Cell::new(now),
+            had_request: Cell::new(false),
+            idle_since: Cell::new(Some(now)),
+            next_begun: Cell::new(None),
+            streaming: Cell::new(false),
+            last_activity: Cell::new(now),
             shed: Cell::new(false),
             close: Notify::new(),
             liveness,
         }
     }
 
-    /// Bytes have come: the first ones after an answer begin another request.
-    pub fn read(&self) {
+    /// Bytes were received: the first ones after a response begin another request.
+    pub fn record_read(&self) {
         let now = Instant::now();
-        self.moved.set(now);
-        if self.idle.get().is_some() && self.begun.get().is_none() {
-            self.begun.set(Some(now));
+        self.last_activity.set(now);
+        if self.idle_since.get().is_some() && self.next_begun.get().is_none() {
+            self.next_begun.set(Some(now));
         }
     }
 
-    pub fn written(&self) {
-        self.moved.set(Instant::now());
+    /// Bytes were sent.
+    pub fn record_write(&self) {
+        self.last_activity.set(Instant::now());
     }
 
-    /// How it closes now that it is told to, when bytes had moved on it last then. After SIGTERM whoever is to make room
-    /// is told when nothing further is taken: half a request does not keep it.
-    pub fn must_leave(&self, moved: Instant, terminating: bool) -> Leaves {
-        let holds = self.idle.get().is_none();
-        let (begun, shed) = (self.begun.get().is_some(), self.shed.get());
-        let comes = begun && (!shed || (self.moved.get() != moved && !terminating));
-        match self.asked.get() {
-            _ if holds => Leaves::InOrder,
-            _ if comes => Leaves::Later,
-            false if shed => Leaves::Now,
-            _ => Leaves::InOrder,
+    /// How the connection closes now that it is told to; `activity_before` is its last activity when it was
+    /// told. During a shutdown connections are shed only once no further request is taken: half a request
+    /// keeps none open then.
+    pub fn close_mode(&self, activity_before: Instant, terminating: bool) -> CloseMode {
+        let in_progress = self.idle_since.get().is_none();
+        let (next_begun, shed) = (self.next_begun.get().is_some(), self.shed.get());
+        let still_arriving =
+            next_begun && (!shed || (self.last_activity.get() != activity_before && !terminating));
+        match self.had_request.get() {
+            _ if in_progress => CloseMode::Graceful,
+            _ if still_arriving => CloseMode::Deferred,
+            false if shed => CloseMode::Immediate,
+            _ => CloseMode::Graceful,
         }
     }
 
-    pub fn lapse(&self) -> Lapse {
+    /// Checks the connection against its timeouts.
+    pub fn check_timeout(&self) -> TimeoutAction {
         let now = Instant::now();
-        let Some(idle) = self.idle.get() else {
-            // Who takes nothing of its answer keeps the runtime from asking for more, or for its end.
-            let stalled = self.passing.get() && now >= self.moved.get() + STALL_TIMEOUT;
-            return if stalled { Lapse::Cut } else { Lapse::Later(now + READ_TIMEOUT) };
+        let Some(idle_since) = self.idle_since.get() else {
+            // A client that reads nothing keeps the runtime from polling the response body, or seeing its
+            // end.
+            let stalled = self.streaming.get() && now >= self.last_activity.get() + STALL_TIMEOUT;
+            return if stalled {
+                TimeoutAction::CloseNow
+            } else {
+                TimeoutAction::CheckAgain(now + READ_TIMEOUT)
+            };
         };
-        let (since, lapse) = match (self.asked.get(), self.begun.get()) {
-            (false, _) => (self.connected, Lapse::Cut),
-            (true, Some(begun)) => (begun, Lapse::Leave),
-            (true, None) => (idle, Lapse::Leave),
+        let (since, action) = match (self.had_request.get(), self.next_begun.get()) {
+            (false, _) => (self.connected, TimeoutAction::CloseNow),
+            (true, Some(next_begun)) => (next_begun, TimeoutAction::CloseGracefully),
+            (true, None) => (idle_since, TimeoutAction::CloseGracefully),
         };
-        if now < since + READ_TIMEOUT { Lapse::Later(since + READ_TIMEOUT) } else { lapse }
+        if now < since + READ_TIMEOUT { TimeoutAction::CheckAgain(since + READ_TIMEOUT) } else { action }
     }
 }
--- a/src/bin/sillward/client_stream.rs
+++ b/src/bin/sillward/client_stream.rs
@@ -1,4 +1,5 @@
-//! A client's stream that tells when bytes move on it: only so a slow head can be told from an idle connection.
+//! A client's TCP stream that records reads and writes: only they tell a slow request head from an idle
+//! connection.
 
 use crate::client::Client;
 use std::cell::RefCell;
@@ -9,18 +10,20 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
+/// A client's TCP stream, and the connection state that its reads and writes update.
 pub struct ClientStream {
     stream: Rc<RefCell<TcpStream>>,
     client: Rc<Client>,
 }
 
 impl ClientStream {
+    /// Wraps the stream of `client`.
     pub fn new(stream: Rc<RefCell<TcpStream>>, client: Rc<Client>) -> Self {
         ClientStream { stream, client }
     }
 
-    fn written(&self, written: usize) -> Poll<io::Result<usize>> {
-        self.client.written();
+    fn finish_write(&self, written: usize) -> Poll<io::Result<usize>> {
+        self.client.record_write();
         Poll::Ready(Ok(written))
     }
 }
@@ -34,7 +37,7 @@
         let before = buffer.filled().len();
         ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buffer))?;
         if buffer.filled().len() > before {
-            self.client.read();
+            self.client.record_read();
         }
         Poll::Ready(Ok(()))
     }
@@ -43,16 +46,16 @@
 impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, bytes))?;
-        self.written(written)
+        self.finish_write(written)
     }
 
     fn poll_write_vectored(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        pieces: &[io::IoSlice<'_>],
+        slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_write_vectored(cx, pieces))?;
-        self.written(written)
+        let written = ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_write_vectored(cx, slices))?;
+        self.finish_write(written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/bin/sillward/frontend.rs
+++ b/src/bin/sillward/frontend.rs
@@ -1,11 +1,12 @@
-//! The clients' side: takes requests, checks them, and writes the final answers that the node gives.
+//! The clients' side of the node: accepts connections, reads and validates requests, and writes the final
+//! responses.
 
-use crate::body::{Download, IdleBudget, LONGEST, MAX_BUFFERED_BYTES, STALL_TIMEOUT, Upload};
-use crate::client::{Client, Lapse, Leaves, READ_TIMEOUT};
+use crate::body::{Download, IdleBudget, MAX_BODY_BYTES, MAX_BUFFERED_BYTES, STALL_TIMEOUT, Upload};
+use crate::client::{Client, CloseMode, READ_TIMEOUT, TimeoutAction};
 use crate::client_stream::ClientStream;
 use crate::handover::HotRestart;
-use crate::lifecycle::{ACCEPT_ON, LAST_WORDS, Lifecycle, Phase, ProcessState};
-use crate::liveness::{Liveness, Peer, ask};
+use crate::lifecycle::{DRAIN_ACCEPT_PERIOD, FINAL_REQUEST_GRACE, Lifecycle, Phase, ProcessState};
+use crate::liveness::{Liveness, PeerState, peer_state};
 use crate::messages::{AcceptedRequest, Answer, ClientPresence, ForwardedRequest, Message, RequestBody};
 use bytes::{Bytes, BytesMut};
 use hillpick::control::clock::Clock;
@@ -38,171 +39,194 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Until its last byte has come, a request has no deadline; its sender's silence ends it.
-const ARRIVING: Duration = Duration::from_secs(86_400);
-/// What a connection may buffer: no head is longer.
-const READ_BUFFER: usize = 32 * 1024;
-/// After an accept that failed for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// A process that is told to stop waits so long for bodies that still pass through: the longest of them, at a rate
-/// that clients are known to keep up.
-const LONGEST_PASSAGE: Duration = Duration::from_secs(60);
-/// How soon after it holds a list a process takes up clients beside another.
-const READY_PAUSE: Duration = Duration::from_millis(5);
-/// Smaller bodies need no room of their own: a connection's buffers hold as much anyway.
-const SMALL: usize = 8 * 1024;
-const LONGEST_BUDGET_MS: u64 = 600_000;
-const LONGEST_ID: usize = 256;
-
-/// As long as a request is held, its connection is not idle.
-struct Busy(Rc<Client>, Rc<Frontend>);
-
-impl Drop for Busy {
+/// Deadline of a request whose streamed body is still arriving: none in effect, as an idle sender ends it
+/// earlier.
+const UPLOAD_DEADLINE: Duration = Duration::from_secs(86_400);
+/// Read buffer of a connection: no request head may be longer.
+const READ_BUFFER_BYTES: usize = 32 * 1024;
+/// Pause after an accept that failed, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// How long a shutdown waits for bodies that are still being streamed: long enough for the longest body at a
+/// rate that clients are known to keep up.
+const STREAMING_SHUTDOWN_LIMIT: Duration = Duration::from_secs(60);
+/// How often a process that starts beside another checks whether it holds a server list and can accept
+/// clients.
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Bodies up to this length need no reserved buffer memory: a connection's buffers hold as much anyway.
+const UNRESERVED_BODY_BYTES: usize = 8 * 1024;
+/// Largest `X-Budget-Ms` that is accepted.
+const MAX_BUDGET_MS: u64 = 600_000;
+/// Longest `X-Call-Id` that is accepted.
+const MAX_CALL_ID_BYTES: usize = 256;
+
+/// Keeps a connection from counting as idle while a request on it is in progress.
+struct InProgress(Rc<Client>, Rc<Frontend>);
+
+impl Drop for InProgress {
     fn drop(&mut self) {
-        self.0.idle.set(Some(Instant::now()));
-        self.1.left.notify_one(); // whoever waits to come in finds this one idle
+        self.0.idle_since.set(Some(Instant::now()));
+        self.1.slot_freed.notify_one(); // a connection that waits for a free slot may now shed this one
     }
 }
 
-/// What is written to a client.
-type Reply = Response<Either<Full<Bytes>, Download<Option<Busy>>>>;
+/// What is written to a client: a buffered body or a streamed one.
+type ClientResponse = Response<Either<Full<Bytes>, Download<Option<InProgress>>>>;
 
-/// How the node stands as a whole.
-pub struct Node {
+/// The state of the node that the frontend goes by.
+pub struct NodeState {
     /// Whether it holds a list of backends.
     pub ready: Rc<Cell<bool>>,
     pub lifecycle: Rc<Lifecycle>,
-    pub pair: Rc<HotRestart>,
+    pub hot_restart: Rc<HotRestart>,
 }
 
+/// Serves the clients' connections.
 pub struct Frontend {
     clock: Clock,
-    current: LiveSettings,
+    live_settings: LiveSettings,
     messages: mpsc::Sender<Message>,
-    node: Node,
-    /// The last number that a request or a connection was given.
-    numbers: Cell<u64>,
+    node: NodeState,
+    /// The last id that was given to a request or a connection.
+    last_id: Cell<u64>,
     clients: RefCell<BTreeMap<u64, Rc<Client>>>,
-    most_clients: usize,
-    /// Room for bodies that are kept, in KiB. Who finds none waits to be read.
-    room: Arc<Semaphore>,
-    /// A connection that is accepted, and waits for another to make room. It outlives a cancelled accept:
-    /// it may hold a request.
-    waiting: RefCell<Option<TcpStream>>,
-    left: Notify,
+    max_clients: usize,
+    /// Memory for buffered bodies, a permit per KiB. A body that gets none is not read until it does.
+    buffer_memory: Arc<Semaphore>,
+    /// A connection that has been accepted and waits for a free slot. It is kept here so that a cancelled
+    /// accept does not drop it: it may carry a request.
+    pending_accept: RefCell<Option<TcpStream>>,
+    /// Notified when a connection closes or becomes idle: one that waits for a free slot can go on then.
+    slot_freed: Notify,
 }
 
-/// What has been read of a body, what is unread of a long one, and the room that the first takes.
-type Read = (Bytes, Option<Incoming>, Option<OwnedSemaphorePermit>);
+/// The buffered part of a body, the unread rest if it is to be streamed, and the memory reserved for the
+/// first.
+type ReadBody = (Bytes, Option<Incoming>, Option<OwnedSemaphorePermit>);
 
-/// Why a request is turned down without being taken: a 4xx, which promises nothing, or a 503 for one that had
-/// not come whole when the process was about to end.
-type Bad = (StatusCode, &'static str);
+/// The response to a request that is not accepted: a 4xx, which promises nothing, or a 503 for a request that
+/// was still incomplete when the process was about to end.
+type Rejection = (StatusCode, &'static str);
 
 impl Frontend {
+    /// A frontend that has no connections yet.
     pub fn new(
         clock: Clock,
         config: &Config,
-        current: LiveSettings,
+        live_settings: LiveSettings,
         messages: mpsc::Sender<Message>,
-        node: Node,
+        node: NodeState,
     ) -> Rc<Self> {
         Rc::new(Frontend {
             clock,
-            current,
+            live_settings,
             messages,
             node,
-            numbers: Cell::new(0),
+            last_id: Cell::new(0),
             clients: RefCell::default(),
-            most_clients: config.max_client_connections,
-            room: Arc::new(Semaphore::new(config.body_buffer_kib)),
-            waiting: RefCell::default(),
-            left: Notify::new(),
+            max_clients: config.max_client_connections,
+            buffer_memory: Arc::new(Semaphore::new(config.body_buffer_kib)),
+            pending_accept: RefCell::default(),
+            slot_freed: Notify::new(),
         })
     }
 
-    /// Serves clients until the node terminates, then ends in good order.
+    /// Serves clients until the node terminates, then shuts down gracefully.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
-        spawn_local(self.clone().see_out());
-        spawn_local(self.clone().keep_to_share());
-        spawn_local(self.clone().take_no_more());
+        spawn_local(self.clone().close_idle_when_draining());
+        spawn_local(self.clone().enforce_connection_share());
+        spawn_local(self.clone().enforce_body_deadline());
         let mut phase = self.node.lifecycle.watch();
         tokio::select! {
-            () = self.take_up(&listener) => {}
+            () = self.accept_when_ready(&listener) => {}
             _ = phase.wait_for(|phase| phase.state == ProcessState::Terminating) => {}
         }
-        self.serve_waiting();
-        // Whoever has the same queue and goes on serving takes what is in it. That one may go as well, or at the same
-        // time: then this one accepts again.
-        let pair = &self.node.pair;
-        let (mut changes, until) = (pair.changes(), self.node.lifecycle.now().since + ACCEPT_ON);
-        while Instant::now() < until {
+        self.serve_pending();
+        // A sibling process that shares the accept queue and goes on serving accepts what is in it. If that
+        // process terminates as well, even at the same time, this one accepts again.
+        let hot_restart = &self.node.hot_restart;
+        let (mut changes, accept_until) =
+            (hot_restart.changes(), self.node.lifecycle.now().since + DRAIN_ACCEPT_PERIOD);
+        while Instant::now() < accept_until {
             tokio::select! {
-                () = self.accept(&listener), if !pair.other_serves() => {}
+                () = self.accept(&listener), if !hot_restart.sibling_accepts() => {}
                 () = changes.next() => {}
-                () = sleep_until(until) => {}
+                () = sleep_until(accept_until) => {}
             }
         }
-        self.serve_waiting();
-        // A connection that waits in the queue may hold a request already: closing the listener would reset it.
-        while !pair.other_serves()
+        self.serve_pending();
+        // A connection in the accept queue may already carry a request: closing the listener would reset it.
+        while !hot_restart.sibling_accepts()
             && let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await
         {
             self.serve(stream);
-            if timeout(LAST_WORDS, self.make_room()).await.is_err() {
+            if timeout(FINAL_REQUEST_GRACE, self.free_slot()).await.is_err() {
                 break;
             }
         }
         drop(listener);
-        sleep_until(self.node.lifecycle.now().since + ACCEPT_ON + LAST_WORDS).await;
-        let all_left = async {
+        sleep_until(self.node.lifecycle.now().since + DRAIN_ACCEPT_PERIOD + FINAL_REQUEST_GRACE).await;
+        let all_closed = async {
             while !self.clients.borrow().is_empty() {
-                self.left.notified().await;
+                self.slot_freed.notified().await;
             }
         };
-        // Every request has its answer by its deadline. Who is left then has sent half a request at most, or a long
-        // body is still passing through.
-        let site = self.current.get();
-        let longest = site.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-        if timeout(longest, all_left).await.is_err() {
-            let passing = || self.clients.borrow().values().any(|client| client.idle.get().is_none());
-            let passed = async {
-                while passing() {
-                    self.left.notified().await;
+        // Every request is answered by its deadline. A connection that is still open then has sent an
+        // incomplete request at most, or its body is still being streamed.
+        let site = self.live_settings.get();
+        let max_deadline = site.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+        if timeout(max_deadline, all_closed).await.is_err() {
+            let any_streaming =
+                || self.clients.borrow().values().any(|client| client.idle_since.get().is_none());
+            let streams_ended = async {
+                while any_streaming() {
+                    self.slot_freed.notified().await;
                 }
             };
-            let whole = timeout(LONGEST_PASSAGE, passed).await.is_ok();
-            log(if whole { "a client would not end its connection" } else { "a long body was cut off" });
+            let all_streamed = timeout(STREAMING_SHUTDOWN_LIMIT, streams_ended).await.is_ok();
+            log(if all_streamed {
+                "shutdown: closing connections that their clients keep open"
+            } else {
+                "shutdown: cutting off a body that is still being streamed"
+            });
         }
     }
 
-    /// What has not come whole in time is let go before it counts as taken.
-    async fn take_no_more(self: Rc<Self>) {
-        self.node.lifecycle.last_byte().await;
+    /// At the shutdown's body deadline, drops the requests that are incomplete: they do not count as
+    /// accepted.
+    async fn enforce_body_deadline(self: Rc<Self>) {
+        self.node.lifecycle.body_deadline().await;
         let _ = self.messages.send(Message::BodyDeadline).await;
-        while self.clients.borrow().values().any(|client| client.idle.get().is_some() && !client.shed.get()) {
-            self.shed_longest_silent();
+        while self
+            .clients
+            .borrow()
+            .values()
+            .any(|client| client.idle_since.get().is_some() && !client.shed.get())
+        {
+            self.shed_longest_idle();
         }
     }
 
-    /// Once there are two processes each has half: what is idle beyond that leaves, as far as it goes.
-    async fn keep_to_share(self: Rc<Self>) {
-        let mut changes = self.node.pair.changes();
+    /// During a hot restart each of the two processes has half of the connections: sheds idle ones beyond
+    /// that half.
+    async fn enforce_connection_share(self: Rc<Self>) {
+        let mut changes = self.node.hot_restart.changes();
         loop {
             changes.next().await;
-            let share = self.node.pair.share_of_limit(self.most_clients);
-            let beyond = self.clients.borrow().len().saturating_sub(share);
-            (0..beyond).for_each(|_| self.shed_longest_silent());
+            let share = self.node.hot_restart.share_of_limit(self.max_clients);
+            let excess = self.clients.borrow().len().saturating_sub(share);
+            (0..excess).for_each(|_| self.shed_longest_idle());
         }
     }
 
-    /// Whenever the node drains, for whatever reason: clients leave on an answer that says so, and who has not
-    /// asked for anything by the end of the grace is sent off.
-    async fn see_out(self: Rc<Self>) {
+    /// Whenever the node drains, for whatever reason, responses ask their clients to close. A connection that
+    /// carries no request by the end of the grace period is closed here.
+    async fn close_idle_when_draining(self: Rc<Self>) {
         let mut phase = self.node.lifecycle.watch();
-        while let Ok(Phase { since, .. }) = phase.wait_for(|phase| phase.drains()).await.map(|phase| *phase) {
+        while let Ok(Phase { since, .. }) =
+            phase.wait_for(|phase| phase.is_draining()).await.map(|phase| *phase)
+        {
             tokio::select! {
-                () = sleep_until(since + ACCEPT_ON + LAST_WORDS) => {
+                () = sleep_until(since + DRAIN_ACCEPT_PERIOD + FINAL_REQUEST_GRACE) => {
                     self.clients.borrow().values().for_each(|client| client.close.notify_one());
                     let _ = phase.changed().await;
                 }
@@ -211,320 +235,350 @@
         }
     }
 
-    /// Beside a process that serves, clients are left to it until this one can serve them as well.
-    async fn take_up(self: &Rc<Self>, listener: &TcpListener) {
-        while self.node.pair.has_predecessor() && !self.node.ready.get() {
-            sleep(READY_PAUSE).await;
+    /// Accepts clients, but leaves them to the predecessor, if there is one, until this process can serve
+    /// them as well.
+    async fn accept_when_ready(self: &Rc<Self>, listener: &TcpListener) {
+        while self.node.hot_restart.has_predecessor() && !self.node.ready.get() {
+            sleep(READINESS_POLL_INTERVAL).await;
         }
-        self.node.pair.accept();
+        self.node.hot_restart.start_accepting();
         self.accept(listener).await;
     }
 
+    /// Accepts connections; each is served once there is a free slot for it.
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         loop {
-            if self.waiting.borrow().is_none() {
+            if self.pending_accept.borrow().is_none() {
                 match listener.accept().await {
-                    Ok((stream, _)) => drop(self.waiting.borrow_mut().replace(stream)),
+                    Ok((stream, _)) => drop(self.pending_accept.borrow_mut().replace(stream)),
                     Err(e) => {
-                        // Out of descriptors, or the client has left already: neither is a reason to end.
+                        // Out of descriptors, or the client has disconnected already: neither is a reason to
+                        // stop.
                         log(format_args!("cannot accept: {e}"));
-                        self.shed_longest_silent();
-                        sleep(ACCEPT_PAUSE).await;
+                        self.shed_longest_idle();
+                        sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 }
             }
-            self.make_room().await;
-            self.serve_waiting();
+            self.free_slot().await;
+            self.serve_pending();
         }
     }
 
     fn is_full(&self) -> bool {
-        self.clients.borrow().len() >= self.node.pair.share_of_limit(self.most_clients)
+        self.clients.borrow().len() >= self.node.hot_restart.share_of_limit(self.max_clients)
     }
 
-    fn serve_waiting(self: &Rc<Self>) {
-        let waiting = self.waiting.borrow_mut().take();
-        waiting.into_iter().for_each(|stream| self.serve(stream));
+    fn serve_pending(self: &Rc<Self>) {
+        let pending = self.pending_accept.borrow_mut().take();
+        pending.into_iter().for_each(|stream| self.serve(stream));
     }
 
-    /// Whoever holds no request and has been silent longest makes room. It may take a moment to go, so nobody is
-    /// told twice: the next one is.
-    fn shed_longest_silent(&self) {
+    /// Tells the idle connection with the oldest activity to close. Closing may take a moment, so a
+    /// connection that was told already is passed over.
+    fn shed_longest_idle(&self) {
         let clients = self.clients.borrow();
-        let idle = clients.values().filter(|client| client.idle.get().is_some() && !client.shed.get());
-        if let Some(client) = idle.min_by_key(|client| client.moved.get()) {
+        let idle = clients.values().filter(|client| client.idle_since.get().is_some() && !client.shed.get());
+        if let Some(client) = idle.min_by_key(|client| client.last_activity.get()) {
             client.shed.set(true);
             client.close.notify_one();
         }
     }
 
-    async fn make_room(&self) {
+    /// Sheds idle connections until there is a free slot.
+    async fn free_slot(&self) {
         while self.is_full() {
-            self.shed_longest_silent();
-            self.left.notified().await;
+            self.shed_longest_idle();
+            self.slot_freed.notified().await;
         }
     }
 
+    /// Serves a connection in a task of its own until it is closed.
     fn serve(self: &Rc<Self>, stream: TcpStream) {
         let stream = Rc::new(RefCell::new(tcp::with_nodelay(stream)));
         let client = Rc::new(Client::new(Liveness::of(&stream)));
-        let number = self.next();
-        self.clients.borrow_mut().insert(number, client.clone());
-        let front = self.clone();
+        let id = self.next_id();
+        self.clients.borrow_mut().insert(id, client.clone());
+        let frontend = self.clone();
         spawn_local(async move {
-            let told = front.clone().converse(&stream, &client).await;
-            if let Some(stream) = Rc::into_inner(stream).filter(|_| told) {
-                front.linger(stream.into_inner(), &client).await;
+            let completed = frontend.clone().serve_connection(&stream, &client).await;
+            if let Some(stream) = Rc::into_inner(stream).filter(|_| completed) {
+                frontend.lingering_close(stream.into_inner(), &client).await;
             }
-            front.clients.borrow_mut().remove(&number);
-            front.left.notify_one();
+            frontend.clients.borrow_mut().remove(&id);
+            frontend.slot_freed.notify_one();
         });
     }
 
-    /// Takes requests on a connection until it is to be closed. Whether all that the client is told has been written; else it
-    /// has had its time.
-    async fn converse(self: Rc<Self>, stream: &Rc<RefCell<TcpStream>>, client: &Rc<Client>) -> bool {
+    /// Serves requests on a connection until it is to be closed. Returns true if all responses have been
+    /// written, false if the connection timed out or is to be closed at once.
+    async fn serve_connection(self: Rc<Self>, stream: &Rc<RefCell<TcpStream>>, client: &Rc<Client>) -> bool {
         let service = service_fn(|request| self.clone().respond(client.clone(), request));
         let stream = TokioIo::new(ClientStream::new(stream.clone(), client.clone()));
         let mut server = http1::Builder::new();
-        let connection = server.max_buf_size(READ_BUFFER).serve_connection(stream, service);
+        let connection = server.max_buf_size(READ_BUFFER_BYTES).serve_connection(stream, service);
         let mut connection = std::pin::pin!(connection);
-        let mut look = Instant::now();
-        // Biased: a request that has come is read before the connection is told to close.
+        let mut next_check = Instant::now();
+        // Biased: a request that has arrived is read before the connection is told to close.
         loop {
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => return true,
                 () = client.close.notified() => {
-                    let moved = client.moved.get();
-                    // What the kernel holds is seen once the runtime has asked it: that comes first, or a request
-                    // that has come would end as a reset.
+                    let activity_before = client.last_activity.get();
+                    // Bytes in the kernel are seen only once the runtime has polled it. That comes first;
+                    // otherwise a request that has arrived would be reset.
                     yield_now().await;
                     let polled = poll_fn(|cx| Poll::Ready(connection.as_mut().poll(cx))).await;
                     if polled.is_ready() {
                         return true;
                     }
-                    match client.must_leave(moved, self.node.lifecycle.now().state == ProcessState::Terminating) {
-                        Leaves::Now => return false,
-                        Leaves::InOrder => {
+                    match client.close_mode(
+                        activity_before,
+                        self.node.lifecycle.now().state == ProcessState::Terminating,
+                    ) {
+                        CloseMode::Immediate => return false,
+                        CloseMode::Graceful => {
                             connection.as_mut().graceful_shutdown();
-                            self.left.notify_one(); // it may have begun to hold a request
+                            self.slot_freed.notify_one(); // a request may be in progress: shed another one
                         }
-                        Leaves::Later => {
-                            // Somebody else makes room.
+                        CloseMode::Deferred => {
+                            // Another connection has to be shed instead.
                             client.shed.set(false);
-                            self.left.notify_one();
+                            self.slot_freed.notify_one();
                         }
                     }
                 }
-                () = sleep_until(look) => match client.lapse() {
-                    Lapse::Later(then) => look = then,
-                    Lapse::Leave if client.moved.get().elapsed() < STALL_TIMEOUT => {
+                () = sleep_until(next_check) => match client.check_timeout() {
+                    TimeoutAction::CheckAgain(time) => next_check = time,
+                    TimeoutAction::CloseGracefully
+                        if client.last_activity.get().elapsed() < STALL_TIMEOUT =>
+                    {
                         connection.as_mut().graceful_shutdown();
-                        look = client.moved.get() + STALL_TIMEOUT;
+                        next_check = client.last_activity.get() + STALL_TIMEOUT;
                     }
-                    Lapse::Leave | Lapse::Cut => return false,
+                    TimeoutAction::CloseGracefully | TimeoutAction::CloseNow => return false,
                 },
             }
         }
     }
 
-    /// A close over unread bytes resets the connection, and what the client has not taken of its answer goes with it. So
-    /// where there are such bytes the client is told of the end and waited for. Nothing more is read: what
-    /// comes now has crossed the close.
-    async fn linger(&self, stream: TcpStream, client: &Client) {
-        if ask(&stream) != Peer::Unread {
+    /// Lingering close: closing a socket with unread bytes resets the connection, and the client loses what
+    /// it has not yet read of its response. So where there are such bytes the sending side is shut down, and
+    /// the client's close is waited for. Nothing more is read: a request that arrives now has raced with the
+    /// close.
+    async fn lingering_close(&self, stream: TcpStream, client: &Client) {
+        if peer_state(&stream) != PeerState::UnreadData {
             return;
         }
-        let _ = shutdown(&stream, Shutdown::Write); // after an error the runtime has not done so; or it has just broken
-        // Who has sent more than the system takes can't tell its end: it is not waited for beyond a peer's silence.
-        let last = client.moved.get() + READ_TIMEOUT;
+        // After an error hyper has not shut it down. Fails if the connection has just broken.
+        let _ = shutdown(&stream, Shutdown::Write);
+        // If the socket's receive buffer is full, the client's close cannot arrive: the wait ends with the
+        // read timeout.
+        let wait_end = client.last_activity.get() + READ_TIMEOUT;
         loop {
             tokio::select! {
-                // It is ready once the client has ended its side, whatever stands unread before that.
+                // Ready once the client has shut down its side, even with unread bytes before that.
                 _ = stream.ready(Interest::PRIORITY) => return,
-                () = sleep_until(last) => return,
+                () = sleep_until(wait_end) => return,
                 () = client.close.notified() => {
                     if self.is_full() {
                         return;
                     }
-                    client.shed.set(false); // there is room yet
+                    client.shed.set(false); // there are free slots
                 }
             }
         }
     }
 
-    fn next(&self) -> u64 {
-        self.numbers.set(self.numbers.get() + 1);
-        self.numbers.get()
+    fn next_id(&self) -> u64 {
+        self.last_id.set(self.last_id.get() + 1);
+        self.last_id.get()
     }
 
-    async fn respond(self: Rc<Self>, client: Rc<Client>, request: Request<Incoming>) -> Result<Reply, Left> {
-        client.idle.set(None);
-        client.begun.set(None);
-        client.passing.set(false);
-        let first = !client.asked.replace(true);
+    /// Answers a request, and asks the client to close its connection if the node drains or has too many.
+    async fn respond(
+        self: Rc<Self>,
+        client: Rc<Client>,
+        request: Request<Incoming>,
+    ) -> Result<ClientResponse, ClientDisconnected> {
+        client.idle_since.set(None);
+        client.next_begun.set(None);
+        client.streaming.set(false);
+        let first = !client.had_request.replace(true);
         let since = if first { client.connected } else { Instant::now() };
         let liveness = client.liveness.clone();
-        let mut busy = Some(Busy(client, self.clone()));
+        let mut in_progress = Some(InProgress(client, self.clone()));
         let handled = self.handle(request, IdleBudget::until(since + READ_TIMEOUT), liveness).await;
         let mut response = match handled {
-            Ok(response) => response.ok_or(Left)?,
-            Err((status, text)) => plain(status, Bytes::from_static(text.as_bytes())),
+            Ok(response) => response.ok_or(ClientDisconnected)?,
+            Err((status, text)) => plain_response(status, Bytes::from_static(text.as_bytes())),
         };
         if let Either::Right(download) = response.body_mut() {
-            busy.iter().for_each(|Busy(client, _)| client.passing.set(true));
-            download.lasts = busy.take();
+            in_progress.iter().for_each(|InProgress(client, _)| client.streaming.set(true));
+            download.guard = in_progress.take();
         }
-        // Whoever held a request when this process came down to half of the places could not be shed then.
-        let beyond = self.clients.borrow().len() > self.node.pair.share_of_limit(self.most_clients);
-        if self.node.lifecycle.now().drains() || beyond {
+        // A connection with a request in progress could not be shed when a sibling process took half of the
+        // slots.
+        let over_share = self.clients.borrow().len() > self.node.hot_restart.share_of_limit(self.max_clients);
+        if self.node.lifecycle.now().is_draining() || over_share {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(response)
     }
 
-    /// Nothing if its client has left.
+    /// Reads, validates and forwards a request. `None` if its client has disconnected.
     async fn handle(
         &self,
         request: Request<Incoming>,
-        mut patience: IdleBudget,
+        mut idle_budget: IdleBudget,
         liveness: Liveness,
-    ) -> Result<Option<Reply>, Bad> {
+    ) -> Result<Option<ClientResponse>, Rejection> {
         let (head, body) = request.into_parts();
-        // The settings may change while the body comes: it is under those that held when it began.
-        let site = self.current.get();
-        let (body, rest, room) = self.read(body, &mut patience).await?;
-        let at = self.clock.now();
+        // The settings may change while the body arrives: the request goes by those in force when it began.
+        let site = self.live_settings.get();
+        let (body, rest, buffer_permit) = self.read_body(body, &mut idle_budget).await?;
+        let received_at = self.clock.now();
         if head.uri.path() == "/health/ready" {
-            let ready = self.node.ready.get() && !self.node.lifecycle.now().drains();
+            let ready = self.node.ready.get() && !self.node.lifecycle.now().is_draining();
             let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-            return Ok(Some(plain(status, Bytes::new())));
+            return Ok(Some(plain_response(status, Bytes::new())));
         }
-        let checked = self.check(&site, head, body.is_empty() && rest.is_none(), at);
-        let (mut new, mut forward) = match checked {
-            Ok(checked) => checked,
-            Err(bad) => {
+        let validated = self.validate(&site, head, body.is_empty() && rest.is_none(), received_at);
+        let (mut new_request, mut forward) = match validated {
+            Ok(validated) => validated,
+            Err(rejection) => {
                 if let Some(rest) = rest {
-                    spawn_local(read_out(rest, patience));
+                    spawn_local(discard_body(rest, idle_budget));
                 }
-                return Err(bad);
+                return Err(rejection);
             }
         };
         let (reply, answer) = oneshot::channel();
-        // The places for later news are kept now: neither a drop nor a body that is read can wait for one.
-        let place = async || self.messages.clone().reserve_owned().await;
-        let (Ok(left), Ok(arrived), Ok(place)) = (place().await, place().await, place().await) else {
-            return Ok(Some(plain(StatusCode::BAD_GATEWAY, Bytes::new())));
+        // Queue slots for the later messages are reserved now: neither a drop nor a body's last byte can wait
+        // for one.
+        let reserve = async || self.messages.clone().reserve_owned().await;
+        let (Ok(disconnect_permit), Ok(body_permit), Ok(request_permit)) =
+            (reserve().await, reserve().await, reserve().await)
+        else {
+            return Ok(Some(plain_response(StatusCode::BAD_GATEWAY, Bytes::new())));
         };
         let mut unread = None;
         forward.body = match rest {
             None => {
-                forward.buffer_permit = room;
+                forward.buffer_permit = buffer_permit;
                 RequestBody::Buffered(body)
             }
             Some(rest) => {
-                (new.body_streaming, forward.deadline) = (true, Cell::new(at + ARRIVING));
-                let message = Message::BodyReceived(new.id);
-                let tell = Box::new(move || drop(arrived.send(message)));
-                let (upload, back) = Upload::new((body, room), rest, patience, tell);
-                unread = Some(back);
+                (new_request.body_streaming, forward.deadline) =
+                    (true, Cell::new(received_at + UPLOAD_DEADLINE));
+                let message = Message::BodyReceived(new_request.id);
+                let on_last_byte = Box::new(move || drop(body_permit.send(message)));
+                let (upload, unread_rest) =
+                    Upload::new((body, buffer_permit), rest, idle_budget, on_last_byte);
+                unread = Some(unread_rest);
                 RequestBody::streamed(upload)
             }
         };
-        // From here to the sending nothing else happens: the module has the settings that hold now.
-        let present = self.current.get();
-        if !Arc::ptr_eq(&site, &present) {
-            let class = site.settings.classes[new.class].clone();
-            new.policy = Some(RequestPolicy { class, max_attempts: site.settings.limits.max_attempts });
-            let class = site.class_names.get(new.class);
-            new.class = class.and_then(|name| present.class_names.position(name)).unwrap_or(usize::MAX);
-            let tenant = site.tenant_names.get(new.tenant);
-            new.tenant = tenant.map_or(0, |name| present.tenant_names.position(name).unwrap_or(usize::MAX));
+        // No await from here to the send: the decision module has the settings that are in force now.
+        let current_site = self.live_settings.get();
+        if !Arc::ptr_eq(&site, &current_site) {
+            let class = site.settings.classes[new_request.class].clone();
+            new_request.policy =
+                Some(RequestPolicy { class, max_attempts: site.settings.limits.max_attempts });
+            let class = site.class_names.get(new_request.class);
+            new_request.class =
+                class.and_then(|name| current_site.class_names.position(name)).unwrap_or(usize::MAX);
+            let tenant = site.tenant_names.get(new_request.tenant);
+            new_request.tenant =
+                tenant.map_or(0, |name| current_site.tenant_names.position(name).unwrap_or(usize::MAX));
         }
-        let client = Rc::new(ClientPresence::new(new.id, liveness, left));
+        let client = Rc::new(ClientPresence::new(new_request.id, liveness, disconnect_permit));
         forward.client = client.clone();
-        let gone = Gone(client);
-        place.send(Message::Request(Box::new(AcceptedRequest {
-            request: new,
-            received_at: at,
+        let disconnect_guard = DisconnectGuard(client);
+        request_permit.send(Message::Request(Box::new(AcceptedRequest {
+            request: new_request,
+            received_at,
             forward,
             reply,
         })));
-        let answer = match (answer.await, gone.0.finish()) {
+        let answer = match (answer.await, disconnect_guard.0.finish()) {
             (Ok(answer), _) => answer,
             (Err(_), true) => Answer::Failed,
-            (Err(_), false) => return Ok(None), // an attempt saw it before the runtime did
+            (Err(_), false) => return Ok(None), // an attempt noticed the disconnect before the runtime did
         };
         if let Some(unread) = unread {
-            // An answer over a body that is still being sent would end as a reset.
+            // If the rest of the body stayed unread, closing the connection would reset it and lose the
+            // response.
             spawn_local(async move {
-                if let Ok((rest, patience)) = unread.await {
-                    read_out(rest, patience).await;
+                if let Ok((rest, idle_budget)) = unread.await {
+                    discard_body(rest, idle_budget).await;
                 }
             });
         }
         Ok(Some(match answer {
-            Answer::Served(body) => plain(StatusCode::OK, body),
-            Answer::Streamed(length, pieces) => {
-                Response::new(Either::Right(Download { pieces, length, lasts: None }))
+            Answer::Served(body) => plain_response(StatusCode::OK, body),
+            Answer::Streamed(length, chunks) => {
+                Response::new(Either::Right(Download { chunks, length, guard: None }))
             }
-            Answer::Refused(after) => {
-                let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
-                let after = after.map(|after| format!("{:.3}", after.as_secs_f64()));
-                if let Some(Ok(after)) = after.map(HeaderValue::try_from) {
-                    response.headers_mut().insert(RETRY_AFTER, after);
+            Answer::Refused(retry_after) => {
+                let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+                let retry_after = retry_after.map(|retry_after| format!("{:.3}", retry_after.as_secs_f64()));
+                if let Some(Ok(retry_after)) = retry_after.map(HeaderValue::try_from) {
+                    response.headers_mut().insert(RETRY_AFTER, retry_after);
                 }
                 response
             }
-            Answer::Failed => plain(StatusCode::BAD_GATEWAY, Bytes::new()),
-            Answer::TimedOut => plain(StatusCode::GATEWAY_TIMEOUT, Bytes::new()),
+            Answer::Failed => plain_response(StatusCode::BAD_GATEWAY, Bytes::new()),
+            Answer::TimedOut => plain_response(StatusCode::GATEWAY_TIMEOUT, Bytes::new()),
         }))
     }
 
-    /// Reads a request as the protocol words it. What does not fit never reaches a backend.
-    fn check(
+    /// Validates a request's head. A request that breaks the protocol never reaches a backend.
+    fn validate(
         &self,
         site: &SiteSettings,
         head: Parts,
-        empty: bool,
-        at: Duration,
-    ) -> Result<(NewRequest, ForwardedRequest), Bad> {
-        const BAD: StatusCode = StatusCode::BAD_REQUEST;
-        let path = head.uri.path_and_query().ok_or((BAD, "no path"))?.clone();
-        let mut parts = path.path().strip_prefix('/').ok_or((BAD, "no path"))?.split('/');
+        body_is_empty: bool,
+        received_at: Duration,
+    ) -> Result<(NewRequest, ForwardedRequest), Rejection> {
+        const BAD_REQUEST: StatusCode = StatusCode::BAD_REQUEST;
+        let path = head.uri.path_and_query().ok_or((BAD_REQUEST, "no path"))?.clone();
+        let mut parts = path.path().strip_prefix('/').ok_or((BAD_REQUEST, "no path"))?.split('/');
         let name = parts.next().unwrap_or_default();
         let class = site.class_names.position(name);
         let class = class.ok_or((StatusCode::NOT_FOUND, "unknown class"))?;
-        let key = parts.next_back().filter(|key| !key.is_empty()).map_or(0, key_number);
-        let terms = &site.settings.classes[class];
+        let key = parts.next_back().filter(|key| !key.is_empty()).map_or(0, request_key);
+        let class_settings = &site.settings.classes[class];
 
         let idempotency_key = head.headers.get("idempotency-key").cloned();
-        let method = if terms.retry_safety == RetrySafety::Idempotent { Method::GET } else { Method::POST };
+        let method =
+            if class_settings.retry_safety == RetrySafety::Idempotent { Method::GET } else { Method::POST };
         if head.method != method {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "wrong method for this class"));
         }
-        if method == Method::GET && !empty {
-            return Err((BAD, "a body where none belongs"));
+        if method == Method::GET && !body_is_empty {
+            return Err((BAD_REQUEST, "a body where none belongs"));
         }
-        let window = match terms.retry_safety {
+        let dedup_window = match class_settings.retry_safety {
             RetrySafety::Keyed { window, .. } if idempotency_key.is_some() => Some(window),
-            RetrySafety::Keyed { .. } => return Err((BAD, "no Idempotency-Key")),
+            RetrySafety::Keyed { .. } => return Err((BAD_REQUEST, "no Idempotency-Key")),
             _ => None,
         };
-        let call_id = head.headers.get("x-call-id").filter(|id| (1..=LONGEST_ID).contains(&id.len()));
-        let call_id = call_id.ok_or((BAD, "no X-Call-Id"))?.clone();
-        let budget = text(&head.headers, "x-budget-ms").and_then(|text| text.parse::<u64>().ok());
-        let budget = budget.filter(|ms| (1..=LONGEST_BUDGET_MS).contains(ms));
-        let remaining = Duration::from_millis(budget.ok_or((BAD, "no X-Budget-Ms that makes sense"))?);
-        let caller = text(&head.headers, "x-caller");
+        let call_id = head.headers.get("x-call-id").filter(|id| (1..=MAX_CALL_ID_BYTES).contains(&id.len()));
+        let call_id = call_id.ok_or((BAD_REQUEST, "no X-Call-Id"))?.clone();
+        let budget = header_text(&head.headers, "x-budget-ms").and_then(|text| text.parse::<u64>().ok());
+        let budget = budget.filter(|ms| (1..=MAX_BUDGET_MS).contains(ms));
+        let remaining =
+            Duration::from_millis(budget.ok_or((BAD_REQUEST, "no X-Budget-Ms that makes sense"))?);
+        let caller = header_text(&head.headers, "x-caller");
         let tenant = caller.and_then(|caller| site.tenant_names.position(caller));
         if tenant.is_none() && !site.tenant_names.is_empty() {
             return Err((StatusCode::FORBIDDEN, "unknown tenant"));
         }
-        let cost = text(&head.headers, "x-call-cost").and_then(|text| text.parse().ok());
-        let new = NewRequest {
-            id: RequestId(self.next()),
+        let cost = header_text(&head.headers, "x-call-cost").and_then(|text| text.parse().ok());
+        let new_request = NewRequest {
+            id: RequestId(self.next_id()),
             class,
             policy: None,
             body_streaming: false,
@@ -541,89 +595,99 @@
             idempotency_key,
             body: RequestBody::Buffered(Bytes::new()),
             budget: remaining,
-            deadline: Cell::new(at + remaining),
-            dedup_window: window,
+            deadline: Cell::new(received_at + remaining),
+            dedup_window,
             buffer_permit: None,
             first_byte_at: Cell::new(None),
             finished: Cell::new(false),
             client: Rc::default(),
         };
-        Ok((new, forward))
+        Ok((new_request, forward))
     }
 
-    /// Reads what is kept of a body; with the rest if there is more than that, and the room that it takes.
-    async fn read(&self, mut body: Incoming, patience: &mut IdleBudget) -> Result<Read, Bad> {
-        let (mut whole, mut room) = (BytesMut::new(), None);
-        if body.size_hint().lower() > LONGEST {
-            spawn_local(read_out(body, IdleBudget::until(Instant::now() + READ_TIMEOUT)));
+    /// Reads a body as far as it is buffered. A longer one is returned with its unread rest, to be streamed.
+    async fn read_body(
+        &self,
+        mut body: Incoming,
+        idle_budget: &mut IdleBudget,
+    ) -> Result<ReadBody, Rejection> {
+        let (mut buffered, mut buffer_permit) = (BytesMut::new(), None);
+        if body.size_hint().lower() > MAX_BODY_BYTES {
+            spawn_local(discard_body(body, IdleBudget::until(Instant::now() + READ_TIMEOUT)));
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "body over 32 MiB"));
         }
         loop {
-            let asked = Instant::now();
+            let waited_since = Instant::now();
             let frame = tokio::select! {
                 biased;
-                frame = timeout(patience.left(), body.frame()) => frame,
-                () = self.node.lifecycle.last_byte() => {
-                    spawn_local(read_out(body, IdleBudget::until(Instant::now() + READ_TIMEOUT)));
+                frame = timeout(idle_budget.remaining(), body.frame()) => frame,
+                () = self.node.lifecycle.body_deadline() => {
+                    spawn_local(discard_body(body, IdleBudget::until(Instant::now() + READ_TIMEOUT)));
                     return Err((StatusCode::SERVICE_UNAVAILABLE, "terminating"));
                 }
             };
             let frame = match frame.map_err(|_| (StatusCode::REQUEST_TIMEOUT, "too slow"))? {
                 Some(frame) => frame.map_err(|_| (StatusCode::BAD_REQUEST, "broken body"))?,
-                None => return Ok((whole.freeze(), None, room)),
+                None => return Ok((buffered.freeze(), None, buffer_permit)),
             };
             let data = frame.into_data().unwrap_or_default();
-            patience.came(asked.elapsed(), data.len());
-            whole.extend_from_slice(&data);
-            if whole.len() > MAX_BUFFERED_BYTES {
-                return Ok((whole.freeze(), Some(body), room));
+            idle_budget.record(waited_since.elapsed(), data.len());
+            buffered.extend_from_slice(&data);
+            if buffered.len() > MAX_BUFFERED_BYTES {
+                return Ok((buffered.freeze(), Some(body), buffer_permit));
             }
-            if whole.len() > SMALL && room.is_none() {
-                room = self.room.clone().acquire_many_owned((MAX_BUFFERED_BYTES / 1024) as u32).await.ok();
+            if buffered.len() > UNRESERVED_BODY_BYTES && buffer_permit.is_none() {
+                buffer_permit = self
+                    .buffer_memory
+                    .clone()
+                    .acquire_many_owned((MAX_BUFFERED_BYTES / 1024) as u32)
+                    .await
+                    .ok();
             }
         }
     }
 }
 
-/// A client that leaves drops the future that serves it, and this with it.
-struct Gone(Rc<ClientPresence>);
+/// Reports the disconnect of a client: it drops the future that serves the request, and this guard with it.
+struct DisconnectGuard(Rc<ClientPresence>);
 
-impl Drop for Gone {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         self.0.report_disconnected();
     }
 }
 
-/// A client that has left is written nothing: its connection ends.
+/// The error that ends the connection of a client that has disconnected: no response is written.
 #[derive(Debug)]
-struct Left;
+struct ClientDisconnected;
 
-impl fmt::Display for Left {
+impl fmt::Display for ClientDisconnected {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str("the client has left")
+        out.write_str("the client has disconnected")
     }
 }
 
-impl std::error::Error for Left {}
+impl std::error::Error for ClientDisconnected {}
 
-/// Reads a body to its end for nobody, as far as one may go, so that its sender sees the answer and not a reset.
-async fn read_out(mut body: Incoming, mut patience: IdleBudget) {
+/// Reads a body to its end, up to the longest allowed, and discards it, so that its sender sees the response
+/// instead of a reset.
+async fn discard_body(mut body: Incoming, mut idle_budget: IdleBudget) {
     let mut length = 0;
-    while length <= LONGEST {
-        let asked = Instant::now();
-        let Ok(Some(Ok(frame))) = timeout(patience.left(), body.frame()).await else { return };
+    while length <= MAX_BODY_BYTES {
+        let waited_since = Instant::now();
+        let Ok(Some(Ok(frame))) = timeout(idle_budget.remaining(), body.frame()).await else { return };
         let data = frame.into_data().unwrap_or_default();
-        patience.came(asked.elapsed(), data.len());
+        idle_budget.record(waited_since.elapsed(), data.len());
         length += data.len() as u64;
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// What a request is about, as the module's number: the same text gives the same number at every node.
-fn key_number(text: &str) -> u64 {
+/// The key of a request as the decision module's number. The same text gives the same number at every node.
+fn request_key(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
         text.hash(&mut hasher);
@@ -631,7 +695,7 @@
     })
 }
 
-fn plain(status: StatusCode, body: Bytes) -> Reply {
+fn plain_response(status: StatusCode, body: Bytes) -> ClientResponse {
     let mut response = Response::new(Either::Left(Full::new(body)));
     *response.status_mut() = status;
     response
--- a/src/bin/sillward/frontend/disconnects.rs
+++ b/src/bin/sillward/frontend/disconnects.rs
@@ -1,9 +1,9 @@
-//! Clients that leave, against the attempts made for them: front, node and pool in one runtime that the test drives,
-//! before a backend that it plays.
+//! Clients that disconnect while attempts are made for them: frontend, node and connection pool in one
+//! runtime, with backends that the test plays.
 
 use super::*;
 use crate::backend::ConnectionPool;
-use crate::liveness::tests::{Parts, part};
+use crate::liveness::tests::{Disconnect, disconnect};
 use hillpick::control::updates::{Backend, ListUpdate};
 use hillpick::{ListKind, ServerEntry, ServerId, ServerState};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -13,99 +13,103 @@
     "settings": {"Classes": [{"Name": "read", "Target": 20000, "GiveUp": 20000, "Idempotency": "free"},
     {"Name": "submit", "Target": 20000, "GiveUp": 20000, "Idempotency": "guarded", "Group": "zone", "Window": 60000}],
     "Permissions": {"Cancel": true, "AttemptsCap": 3}}}"#;
-/// A test that takes longer has gone wrong.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// A test that takes longer has failed.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why the node does not learn at once that a client has left.
+/// What keeps the node from learning at once that a client has disconnected.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Late {
-    /// It does, as soon as it has a turn.
-    Not,
-    /// The news waits behind others.
+enum NoticeDelay {
+    /// Nothing: it learns of it on its next turn.
+    None,
+    /// The message waits behind others.
     Queued,
-    /// Part of another request stands before the end.
+    /// Part of another request is unread before the end of the stream.
     Hidden,
 }
 
+/// The frontend under test, and what the test controls and observes around it.
 struct Rig {
-    front: Rc<Frontend>,
+    frontend: Rc<Frontend>,
     listener: TcpListener,
-    /// The ids that backends were sent, each with its connection; and how many clients the node was told have left.
-    ran: Rc<RefCell<Vec<String>>>,
-    told: Rc<Cell<usize>>,
-    /// Those who ask for `held` are turned away once this is said.
+    /// The ids of the requests that backends received, and how often the node was told that a client has
+    /// disconnected.
+    received: Rc<RefCell<Vec<String>>>,
+    disconnects: Rc<Cell<usize>>,
+    /// Requests whose id begins with `held` are rejected once this is notified.
     release: Rc<Notify>,
-    /// Whether news of leavings is held back.
-    holds: Rc<Cell<bool>>,
+    /// Whether messages about disconnected clients are held back.
+    hold_disconnects: Rc<Cell<bool>>,
 }
 
-/// Two backends, a node that has a connection to each, and nothing under way.
+/// Runs a test with two backends and a node that has nothing in progress.
 fn with_rig(test: impl AsyncFnOnce(Rig)) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let config = Config::parse(CONFIG).expect("good");
+        let config = Config::parse(CONFIG).expect("a valid configuration");
         let (clock, current) = (Clock::start(), LiveSettings::new(config.site.clone()));
-        let (messages, mut sent) = mpsc::channel(4096);
-        let (passed, inbox) = mpsc::channel(4096);
-        let (orders, mut ordered) = mpsc::channel(16);
-        spawn_local(async move { while ordered.recv().await.is_some() {} });
+        let (messages, mut from_frontend) = mpsc::channel(4096);
+        let (to_node, inbox) = mpsc::channel(4096);
+        let (commands, mut received_commands) = mpsc::channel(16);
+        spawn_local(async move { while received_commands.recv().await.is_some() {} });
         let pool = ConnectionPool::start(clock, &config, current.clone(), Rc::default());
-        spawn_local(crate::node::Node::new(clock, &config, pool, passed.clone(), orders).run(inbox));
-        let (told, holds) = (Rc::<Cell<usize>>::default(), Rc::<Cell<bool>>::default());
-        let (counted, held) = (told.clone(), holds.clone());
+        spawn_local(crate::node::Node::new(clock, &config, pool, to_node.clone(), commands).run(inbox));
+        let (disconnects, hold_disconnects) = (Rc::<Cell<usize>>::default(), Rc::<Cell<bool>>::default());
+        let (counter, hold_flag) = (disconnects.clone(), hold_disconnects.clone());
         spawn_local(async move {
-            let mut kept = Vec::new();
-            while let Some(message) = sent.recv().await {
+            let mut held_back = Vec::new();
+            while let Some(message) = from_frontend.recv().await {
                 if matches!(message, Message::ClientGone(_)) {
-                    counted.set(counted.get() + 1);
-                    kept.push(message);
+                    counter.set(counter.get() + 1);
+                    held_back.push(message);
                 } else {
-                    let _ = passed.send(message).await;
+                    let _ = to_node.send(message).await;
                 }
-                if !held.get() {
-                    for message in kept.drain(..) {
-                        let _ = passed.send(message).await;
+                if !hold_flag.get() {
+                    for message in held_back.drain(..) {
+                        let _ = to_node.send(message).await;
                     }
                 }
             }
         });
-        let (ran, release) = (Rc::<RefCell<Vec<String>>>::default(), Rc::new(Notify::new()));
+        let (received, release) = (Rc::<RefCell<Vec<String>>>::default(), Rc::new(Notify::new()));
         let mut backends = Vec::new();
         for id in [1, 2] {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = listener.local_addr().expect("its address");
             let entry = ServerEntry { id: ServerId(id), state: ServerState::Ready, ..ServerEntry::default() };
             backends.push(Backend { entry, address });
-            let (ran, release) = (ran.clone(), release.clone());
+            let (received, release) = (received.clone(), release.clone());
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(answer_all(stream, ran.clone(), release.clone()));
+                    spawn_local(serve_backend(stream, received.clone(), release.clone()));
                 }
             });
         }
-        let node = Node {
+        let node = NodeState {
             ready: Rc::new(Cell::new(true)),
             lifecycle: Rc::new(Lifecycle::new()),
-            pair: Rc::default(),
+            hot_restart: Rc::default(),
         };
-        let front = Frontend::new(clock, &config, current, messages.clone(), node);
-        let news = ListUpdate { kind: ListKind::Full, backends };
-        messages.send(Message::List(news)).await.unwrap_or_else(|_| panic!("a node"));
+        let frontend = Frontend::new(clock, &config, current, messages.clone(), node);
+        let list_update = ListUpdate { kind: ListKind::Full, backends };
+        messages.send(Message::List(list_update)).await.unwrap_or_else(|_| panic!("the node runs"));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let rig = Rig { front, listener, ran, told, release, holds };
-        timeout(PATIENCE, test(rig)).await.expect("an end");
+        let rig = Rig { frontend, listener, received, disconnects, release, hold_disconnects };
+        timeout(TEST_TIMEOUT, test(rig)).await.expect("an end");
     });
 }
 
-async fn answer_all(mut stream: TcpStream, ran: Rc<RefCell<Vec<String>>>, release: Rc<Notify>) {
+/// Plays a backend on one connection: holds requests whose id begins with `held` and then rejects them,
+/// serves others.
+async fn serve_backend(mut stream: TcpStream, received: Rc<RefCell<Vec<String>>>, release: Rc<Notify>) {
     let mut read = String::new();
-    let mut more = [0; 4096];
-    while let Ok(length @ 1..) = stream.read(&mut more).await {
-        read.push_str(&String::from_utf8_lossy(&more[..length]));
+    let mut buffer = [0; 4096];
+    while let Ok(length @ 1..) = stream.read(&mut buffer).await {
+        read.push_str(&String::from_utf8_lossy(&buffer[..length]));
         while let Some((head, rest)) = read.split_once("\r\n\r\n") {
             let id =
                 head.lines().find_map(|line| line.strip_prefix("x-call-id: ")).expect("an id").to_owned();
-            ran.borrow_mut().push(id.clone());
+            received.borrow_mut().push(id.clone());
             read = rest.to_owned();
             let answer = if id.starts_with("held") {
                 release.notified().await;
@@ -123,83 +127,89 @@
 }
 
 impl Rig {
-    /// A client that has sent this, all of which the kernel has; the node has had no turn yet.
-    async fn sent(&self, sends: &str) -> (TcpStream, TcpStream) {
+    /// A client that has sent this, and its accepted connection. All is in the kernel; the node has had no
+    /// turn yet.
+    async fn connect_and_send(&self, request_text: &str) -> (TcpStream, TcpStream) {
         let address = self.listener.local_addr().expect("its address");
         let mut client = TcpStream::connect(address).await.expect("a client");
-        let accepted = self.listener.accept().await.expect("the client").0;
-        client.write_all(sends.as_bytes()).await.expect("room for it");
-        (client, accepted)
+        let connection = self.listener.accept().await.expect("the client").0;
+        client.write_all(request_text.as_bytes()).await.expect("written");
+        (client, connection)
     }
 
-    async fn until(&self, holds: impl Fn() -> bool) {
-        while !holds() {
+    /// Lets the node run until the condition holds.
+    async fn wait_until(&self, condition: impl Fn() -> bool) {
+        while !condition() {
             yield_now().await;
         }
     }
 
-    fn times(&self, id: &str) -> usize {
-        self.ran.borrow().iter().filter(|ran| ran.starts_with(id)).count()
+    /// How many requests whose id begins with this the backends received.
+    fn received_count(&self, id: &str) -> usize {
+        self.received.borrow().iter().filter(|received| received.starts_with(id)).count()
     }
 
-    /// Whoever asks now is served. The answer takes the node many turns: what it would do by itself it has done.
-    async fn serves(&self) {
+    /// Other clients are served. Their responses take the node many turns, so that pending work is done
+    /// afterwards.
+    async fn serve_others(&self) {
         for _ in 0..20 {
-            let (mut client, accepted) = self.sent(&request("other")).await;
-            self.front.serve(accepted);
+            let (mut client, connection) = self.connect_and_send(&request("other")).await;
+            self.frontend.serve(connection);
             let mut status = [0; 12];
             client.read_exact(&mut status).await.expect("an answer");
             assert_eq!(status, *b"HTTP/1.1 200");
         }
     }
 
-    async fn all_left(&self) {
-        self.until(|| self.front.clients.borrow().is_empty()).await;
+    async fn all_closed(&self) {
+        self.wait_until(|| self.frontend.clients.borrow().is_empty()).await;
     }
 }
 
-/// The answer that allows another attempt, and the end of the client, in one turn and in both orders. Whether the node
-/// knows already or not, it sends nothing more.
+/// A backend's answer that allows a retry and the client's disconnect fall in one turn, in both orders.
+/// Whether the node has learned of the disconnect or not, it must make no further attempt.
 #[test]
 fn a_client_that_leaves_between_two_attempts_gets_no_further_one() {
-    for how in [Parts::Close, Parts::Reset, Parts::Half] {
-        for (late, first) in
-            [Late::Not, Late::Queued, Late::Hidden].into_iter().flat_map(|late| [(late, true), (late, false)])
+    for kind in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
+        for (delay, disconnect_first) in [NoticeDelay::None, NoticeDelay::Queued, NoticeDelay::Hidden]
+            .into_iter()
+            .flat_map(|delay| [(delay, true), (delay, false)])
         {
             with_rig(async |rig| {
-                let what = format!("{how:?}, {late:?}, leaves first: {first}");
-                rig.serves().await;
-                rig.all_left().await;
-                let (mut client, accepted) = rig.sent(&request("held")).await;
-                rig.front.serve(accepted);
-                rig.until(|| rig.times("held") == 1).await;
-                if late == Late::Hidden {
-                    let held = rig.front.clients.borrow().values().next().cloned().expect("one is held");
-                    let before = held.moved.get();
-                    client.write_all(b"GET /re").await.expect("room for it");
-                    rig.until(|| held.moved.get() != before).await;
+                let context = format!("{kind:?}, {delay:?}, disconnect first: {disconnect_first}");
+                rig.serve_others().await;
+                rig.all_closed().await;
+                let (mut client, connection) = rig.connect_and_send(&request("held")).await;
+                rig.frontend.serve(connection);
+                rig.wait_until(|| rig.received_count("held") == 1).await;
+                if delay == NoticeDelay::Hidden {
+                    let held =
+                        rig.frontend.clients.borrow().values().next().cloned().expect("the held connection");
+                    let before = held.last_activity.get();
+                    client.write_all(b"GET /re").await.expect("written");
+                    rig.wait_until(|| held.last_activity.get() != before).await;
                 }
-                rig.holds.set(late == Late::Queued);
-                if first {
-                    let _half = part(client, how);
+                rig.hold_disconnects.set(delay == NoticeDelay::Queued);
+                if disconnect_first {
+                    let _half_closed = disconnect(client, kind);
                     rig.release.notify_one();
                 } else {
                     rig.release.notify_one();
                     yield_now().await; // the backend writes
-                    let _half = part(client, how);
+                    let _half_closed = disconnect(client, kind);
                 }
-                rig.all_left().await;
-                rig.serves().await;
-                rig.holds.set(false);
-                rig.serves().await;
-                rig.all_left().await;
-                assert_eq!((rig.times("held"), rig.told.get()), (1, 1), "{what}");
+                rig.all_closed().await;
+                rig.serve_others().await;
+                rig.hold_disconnects.set(false);
+                rig.serve_others().await;
+                rig.all_closed().await;
+                assert_eq!((rig.received_count("held"), rig.disconnects.get()), (1, 1), "{context}");
             });
         }
     }
 }
 
-/// All of a request and the end of its client are there before the node has its first turn.
+/// A complete request and its client's disconnect have both arrived before the node's first turn.
 #[test]
 fn a_client_that_has_left_before_the_first_attempt_gets_none() {
     let long = format!(
@@ -208,60 +218,60 @@
         "b".repeat(90_000)
     );
     let cases = [request("held"), format!("{}GET /re", request("held")), long];
-    for how in [Parts::Close, Parts::Reset, Parts::Half] {
-        for sends in &cases {
+    for kind in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
+        for request_text in &cases {
             with_rig(async |rig| {
-                rig.serves().await;
-                rig.all_left().await;
-                let (client, accepted) = rig.sent(sends).await;
-                let half = part(client, how);
-                rig.front.serve(accepted);
-                rig.all_left().await;
-                rig.serves().await;
-                rig.all_left().await;
-                let what = format!("{how:?}: {} bytes", sends.len());
-                assert_eq!(rig.times("held"), 0, "{what}");
-                assert!(rig.told.get() <= 1, "{what}");
-                if let Some(mut half) = half {
-                    let mut told = Vec::new();
-                    half.set_nonblocking(false).expect("an option");
-                    let _ = std::io::Read::read_to_end(&mut half, &mut told);
-                    assert!(told.is_empty(), "{what}: {}", String::from_utf8_lossy(&told));
+                rig.serve_others().await;
+                rig.all_closed().await;
+                let (client, connection) = rig.connect_and_send(request_text).await;
+                let half_closed = disconnect(client, kind);
+                rig.frontend.serve(connection);
+                rig.all_closed().await;
+                rig.serve_others().await;
+                rig.all_closed().await;
+                let context = format!("{kind:?}: {} bytes", request_text.len());
+                assert_eq!(rig.received_count("held"), 0, "{context}");
+                assert!(rig.disconnects.get() <= 1, "{context}");
+                if let Some(mut half_closed) = half_closed {
+                    let mut response = Vec::new();
+                    half_closed.set_nonblocking(false).expect("an option");
+                    let _ = std::io::Read::read_to_end(&mut half_closed, &mut response);
+                    assert!(response.is_empty(), "{context}: {}", String::from_utf8_lossy(&response));
                 }
             });
         }
     }
 }
 
-/// Hundreds leave while the node has no turn, in the moment in which each may be sent again.
+/// Hundreds of clients disconnect while the node has no turn, just when a retry of each request is allowed.
 #[test]
 fn a_burst_of_clients_that_leave_between_two_attempts_gets_none() {
-    const CROWD: usize = 300;
-    for late in [Late::Not, Late::Hidden] {
+    const CLIENTS: usize = 300;
+    for delay in [NoticeDelay::None, NoticeDelay::Hidden] {
         with_rig(async |rig| {
-            let mut crowd = Vec::new();
-            for i in 0..CROWD {
-                let sends = format!(
+            let mut clients = Vec::new();
+            for i in 0..CLIENTS {
+                let request_text = format!(
                     "{}{}",
                     request(&format!("held-{i}")),
-                    if late == Late::Hidden { "GET" } else { "" }
+                    if delay == NoticeDelay::Hidden { "GET" } else { "" }
                 );
-                let (client, accepted) = rig.sent(&sends).await;
-                rig.front.serve(accepted);
-                crowd.push(client);
+                let (client, connection) = rig.connect_and_send(&request_text).await;
+                rig.frontend.serve(connection);
+                clients.push(client);
             }
-            rig.until(|| rig.times("held") > 0).await;
-            for _ in 0..CROWD {
+            rig.wait_until(|| rig.received_count("held") > 0).await;
+            for _ in 0..CLIENTS {
                 yield_now().await;
             }
-            let before = rig.times("held");
-            crowd.into_iter().for_each(|client| drop(part(client, Parts::Close)));
+            let before = rig.received_count("held");
+            clients.into_iter().for_each(|client| drop(disconnect(client, Disconnect::Close)));
             rig.release.notify_waiters();
-            rig.all_left().await;
-            rig.serves().await;
-            rig.all_left().await;
-            assert_eq!(rig.times("held"), before, "{late:?}");
-            assert!(rig.told.get() <= CROWD, "{late:?}");
+            rig.all_closed().await;
+            rig.serve_others().await;
+            rig.all_closed().await;
+            assert_eq!(rig.received_count("held"), before, "{delay:?}");
+            assert!(rig.disconnects.get() <= CLIENTS, "{delay:?}");
         });
     }
 }
--- a/src/bin/sillward/frontend/tests.rs
+++ b/src/bin/sillward/frontend/tests.rs
@@ -1,4 +1,4 @@
-//! The front by itself, on a clock that the tests move, before peers on loopback sockets.
+//! The frontend alone, on a clock that the tests control, with clients on loopback sockets.
 
 use super::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -7,51 +7,54 @@
 const CONFIG: &str = r#"{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
     "settings": {"Classes": [{"Name": "submit", "Target": 1, "GiveUp": 1, "Idempotency": "single_shot"}]}}"#;
 
-/// A front, and what reaches the node behind it.
-fn front(config: &str) -> (Rc<Frontend>, mpsc::Receiver<Message>) {
-    let config = Config::parse(config).expect("good");
+/// A frontend, and the messages that it sends to the node.
+fn frontend(config: &str) -> (Rc<Frontend>, mpsc::Receiver<Message>) {
+    let config = Config::parse(config).expect("a valid configuration");
     let (messages, inbox) = mpsc::channel(4096);
-    let node = Node { ready: Rc::default(), lifecycle: Rc::new(Lifecycle::new()), pair: Rc::default() };
+    let node =
+        NodeState { ready: Rc::default(), lifecycle: Rc::new(Lifecycle::new()), hot_restart: Rc::default() };
     let current = LiveSettings::new(config.site.clone());
     (Frontend::new(Clock::start(), &config, current, messages, node), inbox)
 }
 
-/// Answers each request with its id after so long. Returns the ids, as they come.
-fn node_behind(mut inbox: mpsc::Receiver<Message>, takes: Duration) -> Rc<RefCell<Vec<String>>> {
+/// Answers each request with its id after `delay`, the request `first` at once. Returns the ids as they
+/// arrive.
+fn answering_node(mut inbox: mpsc::Receiver<Message>, delay: Duration) -> Rc<RefCell<Vec<String>>> {
     let ids = Rc::<RefCell<Vec<String>>>::default();
-    let taken = ids.clone();
+    let seen_ids = ids.clone();
     spawn_local(async move {
         while let Some(message) = inbox.recv().await {
             let Message::Request(request) = message else { continue };
             let AcceptedRequest { forward, reply, .. } = *request;
             let id = forward.call_id.to_str().expect("an id").to_owned();
-            taken.borrow_mut().push(id.clone());
+            seen_ids.borrow_mut().push(id.clone());
             spawn_local(async move {
                 if id != "first" {
-                    sleep(takes).await;
+                    sleep(delay).await;
                 }
-                let _ = reply.send(Answer::Served(id.into())); // the client may have left
+                let _ = reply.send(Answer::Served(id.into())); // fails if the client has disconnected
             });
         }
     });
     ids
 }
 
-/// What a peer that sends this and no more is answered, and how long after it has connected that ends.
-fn told(sends: &str) -> (String, Duration) {
+/// The status line that a peer gets which sends this and no more, and how long its connection stays open.
+fn outcome_of(sends: &str) -> (String, Duration) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let (front, _inbox) = front(CONFIG);
+        let (frontend, _inbox) = frontend(CONFIG);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut peer = TcpStream::connect(listener.local_addr().expect("its address")).await.expect("a peer");
         let (stream, _) = listener.accept().await.expect("the peer");
-        peer.write_all(sends.as_bytes()).await.expect("room for it");
-        // All has come before the clock stands still, and then only moves when nothing else does.
-        let mut come = vec![0; sends.len()];
-        while !sends.is_empty() && stream.peek(&mut come).await.expect("what it sends") < sends.len() {}
+        peer.write_all(sends.as_bytes()).await.expect("written");
+        // Wait until all has arrived; from then on the clock is paused, and advances only when every task is
+        // idle.
+        let mut received = vec![0; sends.len()];
+        while !sends.is_empty() && stream.peek(&mut received).await.expect("what it sends") < sends.len() {}
         tokio::time::pause();
         let connected = Instant::now();
-        front.serve(stream);
+        frontend.serve(stream);
         let mut answer = String::new();
         peer.read_to_string(&mut answer).await.expect("text, if anything");
         (answer.lines().next().unwrap_or_default().to_owned(), connected.elapsed())
@@ -59,83 +62,86 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_later_head_has_its_time_from_its_first_byte_on() {
+async fn a_later_head_is_timed_from_its_first_byte() {
     let client = Client::new(Liveness::default());
-    let pass = async |ms| tokio::time::advance(Duration::from_millis(ms)).await;
-    let waits = |client: &Client| matches!(client.lapse(), Lapse::Later(then) if then > Instant::now());
-    // The first one has it from the connection on.
-    pass(2000).await;
-    client.read();
-    assert!(waits(&client));
-    pass(500).await;
-    assert!(matches!(client.lapse(), Lapse::Cut));
-    client.asked.set(true);
-    client.begun.set(None);
-    client.idle.set(None);
-    assert!(waits(&client), "a request is held");
-    client.idle.set(Some(Instant::now()));
-    pass(2000).await;
-    client.read();
-    pass(2000).await;
-    assert!(waits(&client), "4 s after the answer, 2 s after its first byte");
-    client.read();
-    pass(500).await;
-    assert!(matches!(client.lapse(), Lapse::Leave));
-    client.begun.set(None);
-    client.idle.set(Some(Instant::now()));
-    pass(2499).await;
-    assert!(waits(&client));
-    pass(1).await;
-    assert!(matches!(client.lapse(), Lapse::Leave), "idle for so long it may go");
+    let advance = async |ms| tokio::time::advance(Duration::from_millis(ms)).await;
+    let is_waiting = |client: &Client| matches!(client.check_timeout(), TimeoutAction::CheckAgain(time) if time > Instant::now());
+    // The first head is timed from the connect.
+    advance(2000).await;
+    client.record_read();
+    assert!(is_waiting(&client));
+    advance(500).await;
+    assert!(matches!(client.check_timeout(), TimeoutAction::CloseNow));
+    client.had_request.set(true);
+    client.next_begun.set(None);
+    client.idle_since.set(None);
+    assert!(is_waiting(&client), "a request is in progress");
+    client.idle_since.set(Some(Instant::now()));
+    advance(2000).await;
+    client.record_read();
+    advance(2000).await;
+    assert!(is_waiting(&client), "4 s after the response, 2 s after the head's first byte");
+    client.record_read();
+    advance(500).await;
+    assert!(matches!(client.check_timeout(), TimeoutAction::CloseGracefully));
+    client.next_begun.set(None);
+    client.idle_since.set(Some(Instant::now()));
+    advance(2499).await;
+    assert!(is_waiting(&client));
+    advance(1).await;
+    assert!(
+        matches!(client.check_timeout(), TimeoutAction::CloseGracefully),
+        "an idle connection may be closed after this time"
+    );
 }
 
 #[test]
-fn when_places_run_out_the_longest_silent_goes_even_before_its_first_request() {
+fn without_free_slots_the_longest_idle_connection_is_closed_even_before_its_first_request() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let (front, _inbox) = front(CONFIG);
+        let (frontend, _inbox) = frontend(CONFIG);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut peers = Vec::new();
         for sends in ["POST /sub", "", "POST /submit/1 HT"] {
             let mut peer =
                 TcpStream::connect(listener.local_addr().expect("its address")).await.expect("a peer");
-            front.serve(listener.accept().await.expect("the peer").0);
-            peer.write_all(sends.as_bytes()).await.expect("room for it");
-            let client = front.clients.borrow().values().next_back().cloned().expect("just come");
-            while !sends.is_empty() && client.begun.get().is_none() {
+            frontend.serve(listener.accept().await.expect("the peer").0);
+            peer.write_all(sends.as_bytes()).await.expect("written");
+            let client = frontend.clients.borrow().values().next_back().cloned().expect("the new connection");
+            while !sends.is_empty() && client.next_begun.get().is_none() {
                 tokio::task::yield_now().await;
             }
             peers.push((peer, client));
         }
-        // The first one goes on with its request: no longer is it the longest silent.
-        let since = peers[0].1.moved.get();
-        peers[0].0.write_all(b"mit").await.expect("room for it");
-        while peers[0].1.moved.get() == since {
+        // The first one continues its request: it is no longer the longest idle.
+        let since = peers[0].1.last_activity.get();
+        peers[0].0.write_all(b"mit").await.expect("written");
+        while peers[0].1.last_activity.get() == since {
             tokio::task::yield_now().await;
         }
-        for gone in [1, 2, 0] {
-            front.shed_longest_silent();
-            let (peer, client) = &mut peers[gone];
-            assert!(client.shed.get(), "{gone}");
-            // At once, and not when its time for a request is over.
-            let there = || front.clients.borrow().values().any(|other| Rc::ptr_eq(other, client));
+        for index in [1, 2, 0] {
+            frontend.shed_longest_idle();
+            let (peer, client) = &mut peers[index];
+            assert!(client.shed.get(), "{index}");
+            // It closes at once, not when its read timeout is over.
+            let is_open = || frontend.clients.borrow().values().any(|other| Rc::ptr_eq(other, client));
             for _ in 0..1000 {
-                if there() {
+                if is_open() {
                     tokio::task::yield_now().await;
                 }
             }
-            assert!(!there(), "{gone} is still there");
-            assert_eq!(peer.read(&mut [0; 9]).await.unwrap_or_default(), 0, "{gone} has ended");
+            assert!(!is_open(), "connection {index} is still open");
+            assert_eq!(peer.read(&mut [0; 9]).await.unwrap_or_default(), 0, "connection {index} is closed");
         }
     });
 }
 
 #[test]
-fn a_peer_that_sends_no_whole_request_is_sent_off_in_3_s() {
+fn a_peer_that_sends_no_complete_request_is_closed_within_3_s() {
     let head = "POST /submit/1 HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n";
     let cases = [("", ""), (head, ""), (&format!("{head}\r\nhalf"), "HTTP/1.1 408 Request Timeout")];
     for (sends, expected) in cases {
-        let (answer, after) = told(sends);
+        let (answer, after) = outcome_of(sends);
         assert_eq!(answer, expected, "{sends}");
         assert!(after < Duration::from_secs(3), "{sends}: {after:?}");
     }
@@ -147,8 +153,9 @@
     )
 }
 
-/// The whole answers in what a client has read: status, whether the connection closes, body. `None` if one is cut.
-fn answers(mut read: &str) -> Option<Vec<(u16, bool, String)>> {
+/// The responses in what a client has read: status, whether the connection closes, body. `None` if one is
+/// incomplete.
+fn parse_responses(mut read: &str) -> Option<Vec<(u16, bool, String)>> {
     let mut all = Vec::new();
     while !read.is_empty() {
         let (head, rest) = read.split_once("\r\n\r\n")?;
@@ -161,157 +168,174 @@
     Some(all)
 }
 
-/// All that comes until the connection ends, however it does.
-async fn rest(peer: &mut TcpStream) -> String {
+/// All that arrives until the connection is closed or reset.
+async fn read_to_end(peer: &mut TcpStream) -> String {
     let mut all = Vec::new();
-    let _ = peer.read_to_end(&mut all).await; // a reset ends it too
+    let _ = peer.read_to_end(&mut all).await; // a reset counts as an end
     String::from_utf8(all).expect("text")
 }
 
-async fn one_answer(peer: &mut TcpStream) {
+async fn read_response(peer: &mut TcpStream) {
     let mut read = String::new();
-    while answers(&read).is_none_or(|all| all.is_empty()) {
+    while parse_responses(&read).is_none_or(|all| all.is_empty()) {
         read.push(char::from(peer.read_u8().await.expect("an answer")));
     }
 }
 
-/// A request that the kernel has, and the runtime has not asked for yet, when its connection is told to close: whether it
-/// is the first one on it or not, at the end of a grace or to make room.
+/// A request has arrived in the kernel, but the runtime has not polled it yet when the connection is told to
+/// close, at the end of a grace period or to free a slot. It must be answered, whether it is the connection's
+/// first or not.
 #[test]
 fn a_request_that_has_come_unnoticed_is_answered() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    for (kept, shed) in [(true, false), (true, true), (false, false), (false, true)] {
+    for (reused, shed) in [(true, false), (true, true), (false, false), (false, true)] {
         LocalSet::new().block_on(&runtime, async {
-            let (front, inbox) = front(CONFIG);
-            let _ids = node_behind(inbox, Duration::ZERO);
+            let (frontend, inbox) = frontend(CONFIG);
+            let _ids = answering_node(inbox, Duration::ZERO);
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = listener.local_addr().expect("its address");
             let mut peer = TcpStream::connect(address).await.expect("a peer");
-            front.serve(listener.accept().await.expect("the peer").0);
-            if kept {
-                peer.write_all(request("1").as_bytes()).await.expect("room for it");
-                one_answer(&mut peer).await;
+            frontend.serve(listener.accept().await.expect("the peer").0);
+            if reused {
+                peer.write_all(request("1").as_bytes()).await.expect("written");
+                read_response(&mut peer).await;
             }
-            let client = front.clients.borrow().values().next().cloned().expect("just come");
-            while kept && client.idle.get().is_none() {
+            let client = frontend.clients.borrow().values().next().cloned().expect("the new connection");
+            while reused && client.idle_since.get().is_none() {
                 tokio::task::yield_now().await;
             }
             tokio::task::yield_now().await;
-            peer.writable().await.expect("room for it");
-            // From here to the close nothing waits.
+            peer.writable().await.expect("written");
+            // Nothing is awaited from here to the close.
             assert_eq!(peer.try_write(request("2").as_bytes()).ok(), Some(request("2").len()));
             match shed {
-                true => front.shed_longest_silent(),
+                true => frontend.shed_longest_idle(),
                 false => client.close.notify_one(),
             }
-            let read = timeout(Duration::from_secs(30), rest(&mut peer)).await.expect("an end");
-            assert_eq!(answers(&read), Some(vec![(200, true, "2".into())]), "kept {kept}, shed {shed}");
+            let read = timeout(Duration::from_secs(30), read_to_end(&mut peer)).await.expect("an end");
+            assert_eq!(
+                parse_responses(&read),
+                Some(vec![(200, true, "2".into())]),
+                "reused {reused}, shed {shed}"
+            );
         });
     }
 }
 
 /// What a client does after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Does {
-    /// Sends a request on a connection that it has used.
-    Again,
-    /// Opens one.
-    Anew,
-    /// Has sent half a head before, or half a body, on a new connection, or half a head on a used one.
-    HalfHead,
-    HalfBody,
-    HalfAgain,
-    /// Sends two at once.
-    Two,
+enum ClientAction {
+    /// Sends a request on a connection that it has used before.
+    RequestOnReused,
+    /// Opens a connection and sends a request on it.
+    RequestOnNew,
+    /// Has sent half a head or half a body on a new connection, or half a head on a used one, and sends the
+    /// rest.
+    FinishHead,
+    FinishBody,
+    FinishLaterHead,
+    /// Sends two requests at once on a used connection.
+    TwoRequests,
 }
 
-/// Every way of sending, at every time after SIGTERM: what is taken is answered whole and in time, what is not taken ends
-/// without a byte of an answer, what comes while new connections come is taken, and the process ends before SIGKILL.
+/// Each way of sending a request, every 25 ms after SIGTERM. Accepted requests are answered completely and in
+/// time, others get no byte of an answer or a 408 or 503 that refuses a half-sent body; what arrives while
+/// new connections still arrive is accepted; and the process exits before SIGKILL.
 #[test]
 fn after_sigterm_nothing_is_lost_whenever_it_comes() {
-    use Does::*;
-    const KILL: Duration = Duration::from_millis(3700);
+    use ClientAction::*;
+    const KILL_AFTER: Duration = Duration::from_millis(3700);
     let config = CONFIG.replace(r#""Target": 1, "GiveUp": 1"#, r#""Target": 3000, "GiveUp": 3000"#);
-    for takes in [5, 2900] {
+    for delay_ms in [5, 2900] {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, async {
-            let (front, inbox) = front(&config);
-            let ids = node_behind(inbox, Duration::from_millis(takes));
+            let (frontend, inbox) = frontend(&config);
+            let ids = answering_node(inbox, Duration::from_millis(delay_ms));
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = listener.local_addr().expect("its address");
             tokio::time::pause();
-            // The clock moves when nothing else does: not before all is prepared.
-            let busy = spawn_local(async {
+            // The paused clock advances when every task is idle: this one keeps it still until all is
+            // prepared.
+            let keep_busy = spawn_local(async {
                 loop {
                     tokio::task::yield_now().await;
                 }
             });
-            let mut open = Vec::new();
+            let mut connections = Vec::new();
             for at in (0..=850).step_by(25) {
-                for does in [Again, HalfHead, HalfBody, HalfAgain, Two, Anew] {
-                    open.push((at, does, TcpStream::connect(address).await.expect("a peer")));
-                    front.serve(listener.accept().await.expect("the peer").0);
+                for action in
+                    [RequestOnReused, FinishHead, FinishBody, FinishLaterHead, TwoRequests, RequestOnNew]
+                {
+                    connections.push((at, action, TcpStream::connect(address).await.expect("a peer")));
+                    frontend.serve(listener.accept().await.expect("the peer").0);
                 }
             }
-            for (at, does, peer) in &mut open {
-                let id = format!("{does:?}-{at}");
+            for (at, action, peer) in &mut connections {
+                let id = format!("{action:?}-{at}");
                 let half = request(&id);
-                if matches!(does, Again | HalfAgain | Two) {
-                    peer.write_all(request("first").as_bytes()).await.expect("room for it");
-                    one_answer(peer).await;
+                if matches!(action, RequestOnReused | FinishLaterHead | TwoRequests) {
+                    peer.write_all(request("first").as_bytes()).await.expect("written");
+                    read_response(peer).await;
                 }
-                match does {
-                    HalfHead | HalfAgain => peer.write_all(&half.as_bytes()[..30]).await.expect("room"),
-                    HalfBody => peer.write_all(&half.as_bytes()[..half.len() - 2]).await.expect("room"),
+                match action {
+                    FinishHead | FinishLaterHead => {
+                        peer.write_all(&half.as_bytes()[..30]).await.expect("written")
+                    }
+                    FinishBody => peer.write_all(&half.as_bytes()[..half.len() - 2]).await.expect("written"),
                     _ => {}
                 }
             }
-            busy.abort();
-            let told = Instant::now();
-            assert!(front.node.lifecycle.enter(ProcessState::Terminating));
-            let ran = spawn_local(front.clone().run(listener));
-            let all: Vec<_> = open
+            keep_busy.abort();
+            let terminated_at = Instant::now();
+            assert!(frontend.node.lifecycle.enter(ProcessState::Terminating));
+            let run_task = spawn_local(frontend.clone().run(listener));
+            let all: Vec<_> = connections
                 .into_iter()
-                .map(|(at, does, mut peer)| {
+                .map(|(at, action, mut peer)| {
                     spawn_local(async move {
-                        sleep_until(told + Duration::from_millis(at)).await;
-                        let id = format!("{does:?}-{at}");
+                        sleep_until(terminated_at + Duration::from_millis(at)).await;
+                        let id = format!("{action:?}-{at}");
                         let whole = request(&id);
-                        let sends = match does {
-                            Again | Anew => whole,
-                            HalfHead | HalfAgain => whole[30..].to_owned(),
-                            HalfBody => whole[whole.len() - 2..].to_owned(),
-                            Two => format!("{whole}{}", request(&format!("{id}-second"))),
+                        let sends = match action {
+                            RequestOnReused | RequestOnNew => whole,
+                            FinishHead | FinishLaterHead => whole[30..].to_owned(),
+                            FinishBody => whole[whole.len() - 2..].to_owned(),
+                            TwoRequests => format!("{whole}{}", request(&format!("{id}-second"))),
                         };
-                        if does == Anew {
+                        if action == RequestOnNew {
                             drop(peer);
                             let Ok(new) = TcpStream::connect(address).await else {
-                                return (at, does, id, String::new(), Instant::now());
+                                return (at, action, id, String::new(), Instant::now());
                             };
                             peer = new;
                         }
-                        let _ = peer.write_all(sends.as_bytes()).await; // it may be closed
-                        let read = rest(&mut peer).await;
-                        (at, does, id, read, Instant::now())
+                        let _ = peer.write_all(sends.as_bytes()).await; // fails if the connection is closed
+                        let read = read_to_end(&mut peer).await;
+                        (at, action, id, read, Instant::now())
                     })
                 })
                 .collect();
-            let mut ended = Vec::new();
+            let mut outcomes = Vec::new();
             for client in all {
-                ended.push(client.await.expect("a client"));
+                outcomes.push(client.await.expect("a client"));
             }
-            ran.await.expect("the front");
-            assert!(told.elapsed() <= KILL, "it ends {:?} after SIGTERM", told.elapsed());
-            for (at, does, id, read, when) in ended {
-                let what = format!("{takes} ms, {id}: {read:?}, {:?} after SIGTERM", when - told);
-                let all = answers(&read).expect("no half answer");
-                let taken = ids.borrow().contains(&id);
-                let expected = if taken { vec![(200, true, id.clone())] } else { Vec::new() };
-                let refused = !taken && matches!(all[..], [(503 | 408, true, _)]) && does == HalfBody;
-                assert!(all == expected || refused, "{what}");
-                assert!(!ids.borrow().contains(&format!("{id}-second")), "{what}");
-                assert!(when <= told + KILL, "{what}");
-                assert!(taken || at > 425 || does == HalfAgain, "{what}");
+            run_task.await.expect("the frontend");
+            assert!(
+                terminated_at.elapsed() <= KILL_AFTER,
+                "it ends {:?} after SIGTERM",
+                terminated_at.elapsed()
+            );
+            for (at, action, id, read, ended_at) in outcomes {
+                let context =
+                    format!("{delay_ms} ms, {id}: {read:?}, {:?} after SIGTERM", ended_at - terminated_at);
+                let all = parse_responses(&read).expect("only complete responses");
+                let accepted = ids.borrow().contains(&id);
+                let expected = if accepted { vec![(200, true, id.clone())] } else { Vec::new() };
+                let refused = !accepted && matches!(all[..], [(503 | 408, true, _)]) && action == FinishBody;
+                assert!(all == expected || refused, "{context}");
+                assert!(!ids.borrow().contains(&format!("{id}-second")), "{context}");
+                assert!(ended_at <= terminated_at + KILL_AFTER, "{context}");
+                assert!(accepted || at > 425 || action == FinishLaterHead, "{context}");
             }
         });
     }
--- a/src/bin/sillward/handover.rs
+++ b/src/bin/sillward/handover.rs
@@ -1,6 +1,7 @@
-//! Upgrades: a process that starts beside one that serves takes over its listening socket, queue and all.
-//! They meet at a Unix socket in `$TMPDIR`, which both have in common, and their connection stays open: as
-//! long as it does, two processes share the node's limits.
+//! Hot restart: a process that starts beside a serving one, its predecessor, receives that one's listening
+//! socket, with the accept queue behind it. The successor finds its predecessor through a Unix socket in
+//! `$TMPDIR`, which both share, and their connection stays open: while it does, the two processes share the
+//! node's connection limits, and each tells the other its status.
 
 use crate::lifecycle::{Lifecycle, ProcessState};
 use hillpick::control::config::RESERVED_SOCKETS;
@@ -23,112 +24,117 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-const NAME: &str = "sillward.sock";
-/// A predecessor that serves answers in a moment. One that has come to a standstill is not waited for.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// After an accept that failed for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const SOCKET_NAME: &str = "sillward.sock";
+/// A serving predecessor answers within moments; one that hangs is not waited for.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause after an accept that failed, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a process of this node tells the other one of itself, a byte whenever it changes.
+/// What a process of the node tells its sibling of itself: one byte, sent whenever it changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Told {
+struct ProcessStatus {
     state: ProcessState,
-    /// It takes connections from the queue that both have.
-    accepts: bool,
+    /// Whether it accepts connections from the shared queue.
+    accepting: bool,
 }
 
-impl Told {
-    fn byte(self) -> u8 {
+impl ProcessStatus {
+    /// The status on the wire: a letter for the state, in upper case if the process accepts connections.
+    fn to_byte(self) -> u8 {
         let letter = match self.state {
             ProcessState::Active => b'a',
             ProcessState::Standby => b's',
             ProcessState::Terminating => b't',
         };
-        if self.accepts { letter.to_ascii_uppercase() } else { letter }
+        if self.accepting { letter.to_ascii_uppercase() } else { letter }
     }
 
-    fn of(byte: u8) -> Option<Self> {
+    /// The status that a byte stands for; `None` if it is no status.
+    fn from_byte(byte: u8) -> Option<Self> {
         let state = match byte.to_ascii_lowercase() {
             b'a' => ProcessState::Active,
             b's' => ProcessState::Standby,
             b't' => ProcessState::Terminating,
             _ => return None,
         };
-        Some(Told { state, accepts: byte.is_ascii_uppercase() })
+        Some(ProcessStatus { state, accepting: byte.is_ascii_uppercase() })
     }
 }
 
-/// The processes beside this one.
+/// The status of the processes beside this one.
 #[derive(Clone, Copy, Default, PartialEq)]
-struct Others {
-    predecessor: Option<Told>,
-    successor: Option<Told>,
+struct SiblingStatus {
+    predecessor: Option<ProcessStatus>,
+    successor: Option<ProcessStatus>,
 }
 
-/// Whether another process of this node runs as well, which, and how it stands.
+/// What this process knows of the node's other processes during a hot restart, and whether it accepts
+/// connections itself.
 #[derive(Default)]
 pub struct HotRestart {
-    others: watch::Sender<Others>,
-    accepts: watch::Sender<bool>,
+    siblings: watch::Sender<SiblingStatus>,
+    accepting: watch::Sender<bool>,
 }
 
-/// Shows when another process has come or gone, or stands differently.
-pub struct Changes(watch::Receiver<Others>);
+/// Notifies of sibling processes that start, exit or change their status.
+pub struct Changes(watch::Receiver<SiblingStatus>);
 
 impl Changes {
     /// Waits for the next change.
     pub async fn next(&mut self) {
         if self.0.changed().await.is_err() {
-            std::future::pending().await // its owner has gone, and the process with it
+            std::future::pending().await // the owner was dropped: the process ends
         }
     }
 }
 
 impl HotRestart {
-    /// All changes from now on.
+    /// Watches the changes from now on.
     pub fn changes(&self) -> Changes {
-        Changes(self.others.subscribe())
+        Changes(self.siblings.subscribe())
     }
 
-    fn set(&self, change: impl FnOnce(&mut Others)) {
-        self.others.send_if_modified(|others| {
-            let before = *others;
-            change(others);
-            before != *others
+    fn update_siblings(&self, change: impl FnOnce(&mut SiblingStatus)) {
+        self.siblings.send_if_modified(|siblings| {
+            let previous = *siblings;
+            change(siblings);
+            previous != *siblings
         });
     }
 
-    /// From now on this process takes connections from the queue.
-    pub fn accept(&self) {
-        self.accepts.send_replace(true);
+    /// Records that this process accepts connections from now on.
+    pub fn start_accepting(&self) {
+        self.accepting.send_replace(true);
     }
 
-    fn own(&self, lifecycle: &Lifecycle) -> Told {
-        Told { state: lifecycle.now().state, accepts: *self.accepts.borrow() }
+    fn own_status(&self, lifecycle: &Lifecycle) -> ProcessStatus {
+        ProcessStatus { state: lifecycle.now().state, accepting: *self.accepting.borrow() }
     }
 
-    /// A process that started earlier is still there.
+    /// Whether a process that started earlier is still running.
     pub fn has_predecessor(&self) -> bool {
-        self.others.borrow().predecessor.is_some()
+        self.siblings.borrow().predecessor.is_some()
     }
 
-    /// A later one has the same queue.
+    /// Whether a process that started later has the same listening socket.
     pub fn has_successor(&self) -> bool {
-        self.others.borrow().successor.is_some()
+        self.siblings.borrow().successor.is_some()
     }
 
-    /// Another process takes connections from the same queue, and goes on doing so: nothing in it is lost when this one
-    /// lets go of it.
-    pub fn other_serves(&self) -> bool {
-        let Others { predecessor, successor } = *self.others.borrow();
-        let serves = |told: Told| told.accepts && told.state != ProcessState::Terminating;
-        [predecessor, successor].into_iter().flatten().any(serves)
+    /// Whether a sibling accepts connections from the same queue and is not shutting down: then nothing in
+    /// the queue is lost when this process stops accepting.
+    pub fn sibling_accepts(&self) -> bool {
+        let SiblingStatus { predecessor, successor } = *self.siblings.borrow();
+        let keeps_accepting =
+            |status: ProcessStatus| status.accepting && status.state != ProcessState::Terminating;
+        [predecessor, successor].into_iter().flatten().any(keeps_accepting)
     }
 
-    /// What this process may use of so many connections. Two processes both need what is spared for other things.
-    pub fn share_of_limit(&self, all: usize) -> usize {
-        let two = self.has_predecessor() || self.has_successor();
-        if two { (all.saturating_sub(RESERVED_SOCKETS / 2) / 2).max(1) } else { all }
+    /// This process's share of a connection limit: with a sibling half of it, less half of the sockets
+    /// reserved for other uses, which both processes need.
+    pub fn share_of_limit(&self, limit: usize) -> usize {
+        let has_sibling = self.has_predecessor() || self.has_successor();
+        if has_sibling { (limit.saturating_sub(RESERVED_SOCKETS / 2) / 2).max(1) } else { limit }
     }
 }
 
@@ -142,47 +148,48 @@
     }
 }
 
-/// Where the processes of this node meet, if it has a place for that.
-pub fn meeting_place() -> Option<PathBuf> {
-    Some(PathBuf::from(std::env::var_os("TMPDIR")?).join(NAME))
+/// The path of the Unix socket through which the node's processes find each other; `None` without `$TMPDIR`.
+pub fn socket_path() -> Option<PathBuf> {
+    Some(PathBuf::from(std::env::var_os("TMPDIR")?).join(SOCKET_NAME))
 }
 
-/// What a process takes over: the clients' queue, and the one in which the next process waits.
+/// The sockets that a successor receives: the clients' listening socket, and the Unix socket for the next
+/// successor.
 pub struct Sockets {
     pub listener: TcpListener,
-    /// None from a process whose program passes the first alone.
-    pub meeting: Option<UnixListener>,
+    /// `None` from an earlier version of the program, which passes the first alone.
+    pub handover_listener: Option<UnixListener>,
 }
 
-/// Takes the listening socket for this address over from whoever serves it. `None`, with the reason in the log if
-/// there was somebody, leaves this process to bind one of its own.
+/// Takes the listening socket for this address over from the process that serves it. On `None` this process
+/// has to bind a socket of its own; the reason is logged if another process was there.
 pub async fn take_over(
-    place: &Path,
+    path: &Path,
     listen: SocketAddr,
-    pair: &Rc<HotRestart>,
+    hot_restart: &Rc<HotRestart>,
     lifecycle: &Rc<Lifecycle>,
 ) -> Option<Sockets> {
-    let stream = timeout(PATIENCE, UnixStream::connect(place)).await.ok()?.ok()?;
-    let taken = match timeout(PATIENCE, receive(&stream)).await {
-        Ok(received) => received.and_then(|(sockets, told)| Ok((usable(sockets, listen)?, told))),
-        Err(_) => Err(io::Error::other("it is silent")),
+    let stream = timeout(HANDOVER_TIMEOUT, UnixStream::connect(path)).await.ok()?.ok()?;
+    let received = match timeout(HANDOVER_TIMEOUT, receive(&stream)).await {
+        Ok(received) => received.and_then(|(sockets, status)| Ok((check_sockets(sockets, listen)?, status))),
+        Err(_) => Err(io::Error::other("it did not answer in time")),
     };
-    match taken {
-        Ok((sockets, told)) => {
+    match received {
+        Ok((sockets, status)) => {
             log("took the listening socket over from the process before this one");
-            pair.set(|others| others.predecessor = Some(told));
-            follow(told.state, lifecycle);
-            let (pair, lifecycle) = (pair.clone(), lifecycle.clone());
+            hot_restart.update_siblings(|siblings| siblings.predecessor = Some(status));
+            follow_predecessor(status.state, lifecycle);
+            let (hot_restart, lifecycle) = (hot_restart.clone(), lifecycle.clone());
             spawn_local(async move {
-                let mut before = told.state;
-                let hear = |told: Told| {
-                    pair.set(|others| others.predecessor = Some(told));
-                    if std::mem::replace(&mut before, told.state) != told.state {
-                        follow(told.state, &lifecycle);
+                let mut previous_state = status.state;
+                let on_status = |status: ProcessStatus| {
+                    hot_restart.update_siblings(|siblings| siblings.predecessor = Some(status));
+                    if std::mem::replace(&mut previous_state, status.state) != status.state {
+                        follow_predecessor(status.state, &lifecycle);
                     }
                 };
-                keep_company(stream, &pair, &lifecycle, None, hear).await;
-                pair.set(|others| others.predecessor = None);
+                exchange_status(stream, &hot_restart, &lifecycle, None, on_status).await;
+                hot_restart.update_siblings(|siblings| siblings.predecessor = None);
                 log("the process before this one has gone");
             });
             Some(sockets)
@@ -194,14 +201,15 @@
     }
 }
 
-/// The node is one: what its staff told the process before holds here too. Its end does not.
-fn follow(state: ProcessState, lifecycle: &Lifecycle) {
+/// Adopts the predecessor's state: what operators ordered there holds for the whole node. Its termination
+/// does not.
+fn follow_predecessor(state: ProcessState, lifecycle: &Lifecycle) {
     if state != ProcessState::Terminating && state != lifecycle.now().state && lifecycle.enter(state) {
         log(format_args!("{state:?}, as the process before this one"));
     }
 }
 
-fn usable(sockets: Vec<OwnedFd>, listen: SocketAddr) -> io::Result<Sockets> {
+fn check_sockets(sockets: Vec<OwnedFd>, listen: SocketAddr) -> io::Result<Sockets> {
     let mut sockets = sockets.into_iter();
     let listener = sockets.next().ok_or_else(|| io::Error::other("it passed no socket"))?;
     let listener = std::net::TcpListener::from(listener);
@@ -209,46 +217,50 @@
     if address != listen {
         return Err(io::Error::other(format!("it listens on {address}")));
     }
-    let meeting = sockets.next().map(std::os::unix::net::UnixListener::from);
-    let meeting = meeting.map(UnixListener::from_std).transpose()?;
-    Ok(Sockets { listener: TcpListener::from_std(listener)?, meeting })
+    let handover_listener = sockets.next().map(std::os::unix::net::UnixListener::from);
+    let handover_listener = handover_listener.map(UnixListener::from_std).transpose()?;
+    Ok(Sockets { listener: TcpListener::from_std(listener)?, handover_listener })
 }
 
-/// Passes the listening socket on to any process that starts beside this one, and the place to meet at with it: if that
-/// process fails, this one is still there to be found. Of two, the first one answers, which knows of both.
-pub async fn offer(
-    place: PathBuf,
+/// Passes the listening socket and the Unix socket itself to any process that starts beside this one. This
+/// process keeps both: if the successor fails, the next one still finds this one. While a predecessor runs,
+/// only that one answers, so that there are never more than two processes.
+pub async fn offer_sockets(
+    path: PathBuf,
     listener: OwnedFd,
-    meeting: Option<UnixListener>,
-    pair: Rc<HotRestart>,
+    handover_listener: Option<UnixListener>,
+    hot_restart: Rc<HotRestart>,
     lifecycle: Rc<Lifecycle>,
 ) {
-    let meeting = match meeting.map_or_else(|| meet(&place), Ok) {
-        Ok(meeting) => meeting,
-        Err(e) => return log(format_args!("no upgrade can take over from here: {}: {e}", place.display())),
+    let handover_listener = match handover_listener.map_or_else(|| bind_unix_socket(&path), Ok) {
+        Ok(handover_listener) => handover_listener,
+        Err(e) => return log(format_args!("no upgrade can take over from here: {}: {e}", path.display())),
     };
-    let mut changes = pair.changes();
+    let mut changes = hot_restart.changes();
     loop {
-        while pair.has_predecessor() {
+        while hot_restart.has_predecessor() {
             changes.next().await;
         }
-        let stream = match meeting.accept().await {
+        let stream = match handover_listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
                 log(format_args!("cannot accept a process after this one: {e}"));
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let own = pair.own(&lifecycle);
-        match timeout(PATIENCE, send(&stream, [listener.as_fd(), meeting.as_fd()], own)).await {
+        let own = hot_restart.own_status(&lifecycle);
+        match timeout(HANDOVER_TIMEOUT, send(&stream, [listener.as_fd(), handover_listener.as_fd()], own))
+            .await
+        {
             Ok(Ok(())) => {
                 log("passed the listening socket on to the process after this one");
-                let starts = Told { state: ProcessState::Active, accepts: false };
-                pair.set(|others| others.successor = Some(starts));
-                let hear = |told| pair.set(|others| others.successor = Some(told));
-                keep_company(stream, &pair, &lifecycle, Some(own), hear).await;
-                pair.set(|others| others.successor = None);
+                let starting = ProcessStatus { state: ProcessState::Active, accepting: false };
+                hot_restart.update_siblings(|siblings| siblings.successor = Some(starting));
+                let on_status =
+                    |status| hot_restart.update_siblings(|siblings| siblings.successor = Some(status));
+                exchange_status(stream, &hot_restart, &lifecycle, Some(own), on_status).await;
+                hot_restart.update_siblings(|siblings| siblings.successor = None);
                 log("the process after this one has gone");
             }
             Ok(Err(e)) => log(format_args!("the listening socket could not be passed on: {e}")),
@@ -257,56 +269,61 @@
     }
 }
 
-/// The name goes from the process before to this one in one step, whoever it belonged to.
-fn meet(place: &Path) -> io::Result<UnixListener> {
-    let own = place.with_extension(std::process::id().to_string());
-    let _ = std::fs::remove_file(&own); // of a process that had this number before
-    let meeting = UnixListener::bind(&own)?;
-    std::fs::rename(&own, place)?;
-    Ok(meeting)
+/// Binds the Unix socket. The rename takes the path over in one step, whichever process it belonged to.
+fn bind_unix_socket(path: &Path) -> io::Result<UnixListener> {
+    let own_path = path.with_extension(std::process::id().to_string());
+    let _ = std::fs::remove_file(&own_path); // left by an earlier process with the same id
+    let handover_listener = UnixListener::bind(&own_path)?;
+    std::fs::rename(&own_path, path)?;
+    Ok(handover_listener)
 }
 
-/// Tells the other process how this one stands, whenever that changes, and hears how that one does, until it has closed
-/// the connection or is gone.
-async fn keep_company(
+/// Exchanges status with the sibling process: sends this process's whenever it changes, and passes on what is
+/// received, until the sibling closes the connection or exits.
+async fn exchange_status(
     mut stream: UnixStream,
-    pair: &HotRestart,
+    hot_restart: &HotRestart,
     lifecycle: &Lifecycle,
-    mut said: Option<Told>,
-    mut hear: impl FnMut(Told),
+    mut last_sent: Option<ProcessStatus>,
+    mut on_status: impl FnMut(ProcessStatus),
 ) {
-    let (mut phase, mut accepts) = (lifecycle.watch(), pair.accepts.subscribe());
-    let mut heard = [0; 16];
+    let (mut phase, mut accepting) = (lifecycle.watch(), hot_restart.accepting.subscribe());
+    let mut received = [0; 16];
     loop {
-        let own = pair.own(lifecycle);
-        if said.replace(own) != Some(own) && stream.write_all(&[own.byte()]).await.is_err() {
+        let own = hot_restart.own_status(lifecycle);
+        if last_sent.replace(own) != Some(own) && stream.write_all(&[own.to_byte()]).await.is_err() {
             return;
         }
         tokio::select! {
-            read = stream.read(&mut heard) => match read {
+            read = stream.read(&mut received) => match read {
                 Ok(0) | Err(_) => return,
-                Ok(read) => heard[..read].iter().filter_map(|byte| Told::of(*byte)).for_each(&mut hear),
+                Ok(read) => received[..read]
+                    .iter()
+                    .filter_map(|byte| ProcessStatus::from_byte(*byte))
+                    .for_each(&mut on_status),
             },
             Ok(()) = phase.changed() => {}
-            Ok(()) = accepts.changed() => {}
+            Ok(()) = accepting.changed() => {}
         }
     }
 }
 
-async fn send(stream: &UnixStream, sockets: [BorrowedFd<'_>; 2], own: Told) -> io::Result<()> {
+/// Sends the sockets together with this process's status.
+async fn send(stream: &UnixStream, sockets: [BorrowedFd<'_>; 2], own: ProcessStatus) -> io::Result<()> {
     let sent = stream.async_io(Interest::WRITABLE, || {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         if !control.push(SendAncillaryMessage::ScmRights(&sockets)) {
             return Err(io::Error::other("no room for the sockets"));
         }
-        Ok(sendmsg(stream, &[IoSlice::new(&[b'L', own.byte()])], &mut control, SendFlags::NOSIGNAL)?)
+        Ok(sendmsg(stream, &[IoSlice::new(&[b'L', own.to_byte()])], &mut control, SendFlags::NOSIGNAL)?)
     });
     sent.await.map(drop)
 }
 
-/// The sockets, and how the one who passes them stands: a program that does not say so serves.
-async fn receive(stream: &UnixStream) -> io::Result<(Vec<OwnedFd>, Told)> {
+/// Receives the sockets and the sender's status. An earlier version of the program sends no status: it counts
+/// as serving.
+async fn receive(stream: &UnixStream) -> io::Result<(Vec<OwnedFd>, ProcessStatus)> {
     let received = stream.async_io(Interest::READABLE, || {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
         let (mut control, mut bytes) = (RecvAncillaryBuffer::new(&mut space), [0; 2]);
@@ -316,8 +333,11 @@
             RecvAncillaryMessage::ScmRights(sockets) => Some(sockets),
             _ => None,
         });
-        let told = bytes[..read.bytes].get(1).copied().and_then(Told::of);
-        Ok((sockets.flatten().collect(), told.unwrap_or(Told { state: ProcessState::Active, accepts: true })))
+        let status = bytes[..read.bytes].get(1).copied().and_then(ProcessStatus::from_byte);
+        Ok((
+            sockets.flatten().collect(),
+            status.unwrap_or(ProcessStatus { state: ProcessState::Active, accepting: true }),
+        ))
     });
     received.await
 }
--- a/src/bin/sillward/lifecycle.rs
+++ b/src/bin/sillward/lifecycle.rs
@@ -1,21 +1,24 @@
-//! The one owner of what the node is about: serving, drained for its staff, or on its way out.
+//! The node's lifecycle state: serving, drained by its operators, or shutting down. Only this module changes
+//! it.
 
 pub use hillpick::control::process::ProcessState;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The front takes up to 0.2 s to see that the node is unready, and new connections go on coming for up to
-/// 0.4 s: so long they may bring requests, and a little more.
-pub const ACCEPT_ON: Duration = Duration::from_millis(450);
-/// Then what was accepted last has so long to send its request before idle connections are closed.
-pub const LAST_WORDS: Duration = Duration::from_millis(100);
+/// How long the node still accepts connections once it drains or shuts down. The load balancer in front of
+/// the nodes takes up to 0.2 s to see that the node is unready, and new connections keep arriving for up to
+/// 0.4 s: this is a little longer.
+pub const DRAIN_ACCEPT_PERIOD: Duration = Duration::from_millis(450);
+/// How long after that the connections accepted last may take to send a request, before idle connections are
+/// closed.
+pub const FINAL_REQUEST_GRACE: Duration = Duration::from_millis(100);
 
-/// A process that is told to stop may be killed once the longest deadline and 0.7 s are over: what comes in whole
-/// after so long could find no answer in time, and is not taken.
-pub const LAST_BYTE: Duration = Duration::from_millis(650);
+/// How long after the start of a shutdown a request may become complete and still be taken. The process may
+/// be killed 0.7 s plus the longest deadline after SIGTERM, so a later request could not be answered in time.
+pub const BODY_DEADLINE: Duration = Duration::from_millis(650);
 
-/// A state, and since when.
+/// A lifecycle state, and when it was entered.
 #[derive(Clone, Copy, Debug)]
 pub struct Phase {
     pub state: ProcessState,
@@ -23,15 +26,16 @@
 }
 
 impl Phase {
-    /// Clients are to leave: told so with each answer.
-    pub fn drains(self) -> bool {
+    /// Whether connections are drained: each response asks its client to close.
+    pub fn is_draining(self) -> bool {
         self.state != ProcessState::Active
     }
 }
 
+/// Holds the current phase, and tells its watchers of each change.
 pub struct Lifecycle {
     phase: watch::Sender<Phase>,
-    /// The state of that phase alone, for who runs outside of this program as well.
+    /// The state of that phase alone, for the library's tasks, which don't know of phases.
     state: watch::Sender<ProcessState>,
 }
 
@@ -51,24 +55,24 @@
         self.phase.subscribe()
     }
 
-    /// The state alone.
+    /// Watches the state alone.
     pub fn watch_state(&self) -> watch::Receiver<ProcessState> {
         self.state.subscribe()
     }
 
-    /// Returns when nothing further may be taken, if that ever comes.
-    pub async fn last_byte(&self) {
+    /// Returns once no further request may be taken; never, unless the node shuts down.
+    pub async fn body_deadline(&self) {
         let mut phase = self.watch();
         let terminating =
             phase.wait_for(|phase| phase.state == ProcessState::Terminating).await.map(|phase| phase.since);
         match terminating {
-            Ok(since) => tokio::time::sleep_until(since + LAST_BYTE).await,
-            Err(_) => std::future::pending().await, // its owner has gone, and the process with it
+            Ok(since) => tokio::time::sleep_until(since + BODY_DEADLINE).await,
+            Err(_) => std::future::pending().await, // the owner was dropped: the process ends
         }
     }
 
-    /// Enters a state, and says whether the node is in it now. To enter it again changes nothing, not even since
-    /// when: a drain that is called for twice ends no later. Nothing follows termination.
+    /// Enters a state, and returns whether the node is in it now. Entering the current state changes nothing,
+    /// not even `since`, so that a drain requested twice ends no later. Termination is final.
     pub fn enter(&self, state: ProcessState) -> bool {
         self.phase.send_if_modified(|phase| {
             let changes = phase.state != state && phase.state != ProcessState::Terminating;
@@ -78,7 +82,7 @@
             changes
         });
         let now = self.now().state;
-        self.state.send_if_modified(|told| std::mem::replace(told, now) != now);
+        self.state.send_if_modified(|published| std::mem::replace(published, now) != now);
         now == state
     }
 }
@@ -90,19 +94,19 @@
     #[tokio::test(start_paused = true)]
     async fn repeated_calls_change_nothing_and_termination_is_final() {
         let lifecycle = Lifecycle::new();
-        let told = lifecycle.watch_state();
-        assert!(lifecycle.enter(ProcessState::Active) && !lifecycle.now().drains());
-        assert!(lifecycle.enter(ProcessState::Standby) && lifecycle.now().drains());
-        assert_eq!(*told.borrow(), ProcessState::Standby);
+        let watched = lifecycle.watch_state();
+        assert!(lifecycle.enter(ProcessState::Active) && !lifecycle.now().is_draining());
+        assert!(lifecycle.enter(ProcessState::Standby) && lifecycle.now().is_draining());
+        assert_eq!(*watched.borrow(), ProcessState::Standby);
         let since = lifecycle.now().since;
         tokio::time::advance(Duration::from_secs(1)).await;
         assert!(lifecycle.enter(ProcessState::Standby));
         assert_eq!(lifecycle.now().since, since);
-        assert!(lifecycle.enter(ProcessState::Active) && !lifecycle.now().drains());
+        assert!(lifecycle.enter(ProcessState::Active) && !lifecycle.now().is_draining());
         assert!(lifecycle.enter(ProcessState::Terminating));
         assert!(!lifecycle.enter(ProcessState::Active) && !lifecycle.enter(ProcessState::Standby));
         assert_eq!(
-            (lifecycle.now().state, *told.borrow()),
+            (lifecycle.now().state, *watched.borrow()),
             (ProcessState::Terminating, ProcessState::Terminating)
         );
     }
--- a/src/bin/sillward/liveness.rs
+++ b/src/bin/sillward/liveness.rs
@@ -1,5 +1,6 @@
-//! Whether a client is still there, asked of the kernel at the moment that counts. The runtime learns of a leaving when it
-//! next reads, and reads nothing while what came after a request lies unread: an attempt must not wait for that.
+//! Whether a client is still connected, asked of the kernel just before an attempt. The runtime learns of a
+//! disconnect only when it next reads, and it reads nothing while bytes that follow a request are unread: an
+//! attempt can't wait for that.
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::Errno;
@@ -8,48 +9,55 @@
 use std::rc::{Rc, Weak};
 use tokio::net::TcpStream;
 
-/// A client's connection as seen by what is done for it; it doesn't keep it open. By default that of nobody, who never
-/// leaves.
+/// A handle to a client's connection that doesn't keep it open. The default has no connection and never
+/// counts as disconnected.
 #[derive(Clone, Default)]
 pub struct Liveness(Option<Weak<RefCell<TcpStream>>>);
 
 impl Liveness {
+    /// The handle to this connection.
     pub fn of(stream: &Rc<RefCell<TcpStream>>) -> Self {
         Liveness(Some(Rc::downgrade(stream)))
     }
 
-    /// It has closed its connection or ended its sending, or the connection is broken: HTTP has no word for a client that
-    /// sends no more but still waits, and the protocol takes its end for a close.
+    /// Whether the client has closed or half-closed its connection, or the connection is broken. HTTP cannot
+    /// say that a client sends no more but still waits for its response, so the protocol takes a half-close
+    /// for a close.
     pub fn is_disconnected(&self) -> bool {
         let Some(stream) = &self.0 else { return false };
         let Some(stream) = stream.upgrade() else { return true };
-        ask(&stream.borrow()) == Peer::Left
+        peer_state(&stream.borrow()) == PeerState::Disconnected
     }
 }
 
-/// The other end of a client's connection.
+/// What the kernel knows of the peer of a connection.
 #[derive(Debug, PartialEq)]
-pub enum Peer {
-    /// All that it has sent has been read.
-    Silent,
-    /// Bytes of it are unread.
-    Unread,
-    Left,
+pub enum PeerState {
+    /// It is connected, and all that it sent has been read.
+    Idle,
+    /// It is connected, and bytes that it sent are unread.
+    UnreadData,
+    /// It has closed or half-closed the connection, or the connection is broken.
+    Disconnected,
 }
 
-pub fn ask(stream: &TcpStream) -> Peer {
+/// Asks the kernel without reading anything.
+pub fn peer_state(stream: &TcpStream) -> PeerState {
     match recv(stream, &mut [0; 1][..], RecvFlags::PEEK | RecvFlags::DONTWAIT) {
-        Ok((0, _)) | Err(Errno::CONNRESET | Errno::CONNABORTED | Errno::PIPE | Errno::TIMEDOUT) => Peer::Left,
-        // Bytes stand before an end, if there is one: that shows only here.
+        Ok((0, _)) | Err(Errno::CONNRESET | Errno::CONNABORTED | Errno::PIPE | Errno::TIMEDOUT) => {
+            PeerState::Disconnected
+        }
+        // The peek shows only unread bytes; whether the stream ends after them is known to poll.
         Ok(_) => {
-            let mut asked = [PollFd::new(stream, PollFlags::RDHUP)];
-            let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-            let told = poll(&mut asked, Some(&now)).is_ok();
-            let ended = asked[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR);
-            if told && ended { Peer::Left } else { Peer::Unread }
+            let mut poll_fds = [PollFd::new(stream, PollFlags::RDHUP)];
+            let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+            let polled = poll(&mut poll_fds, Some(&no_wait)).is_ok();
+            let hung_up =
+                poll_fds[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR);
+            if polled && hung_up { PeerState::Disconnected } else { PeerState::UnreadData }
         }
-        // Nothing has come, or this can't be asked here: no reason to turn anybody down.
-        Err(_) => Peer::Silent,
+        // Nothing was received, or the check isn't supported here: the client counts as connected.
+        Err(_) => PeerState::Idle,
     }
 }
 
--- a/src/bin/sillward/liveness/tests.rs
+++ b/src/bin/sillward/liveness/tests.rs
@@ -1,4 +1,4 @@
-//! A client that comes and goes over a loopback socket, and what the kernel says of it.
+//! Clients that disconnect over a loopback socket, and what the kernel reports of them.
 
 use super::*;
 use rustix::net::sockopt::set_socket_linger;
@@ -7,32 +7,32 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// How a client parts from its connection.
+/// How a client ends its connection.
 #[derive(Clone, Copy, Debug)]
-pub enum Parts {
+pub enum Disconnect {
     Close,
     Reset,
-    /// It ends its sending alone.
-    Half,
+    /// It shuts down its sending side alone.
+    HalfClose,
 }
 
-/// Returns what is left of it.
-pub fn part(stream: TcpStream, how: Parts) -> Option<std::net::TcpStream> {
+/// Ends the connection; returns the stream if it is only half-closed.
+pub fn disconnect(stream: TcpStream, kind: Disconnect) -> Option<std::net::TcpStream> {
     let stream = stream.into_std().expect("a stream");
-    match how {
-        Parts::Close => None,
-        Parts::Reset => {
+    match kind {
+        Disconnect::Close => None,
+        Disconnect::Reset => {
             set_socket_linger(&stream, Some(Duration::ZERO)).expect("an option");
             None
         }
-        Parts::Half => {
+        Disconnect::HalfClose => {
             stream.shutdown(Shutdown::Write).expect("it is open");
             Some(stream)
         }
     }
 }
 
-async fn pair() -> (TcpStream, Rc<RefCell<TcpStream>>) {
+async fn connected_pair() -> (TcpStream, Rc<RefCell<TcpStream>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client =
         hillpick::control::tcp::connect(listener.local_addr().expect("its address")).await.expect("a client");
@@ -40,37 +40,38 @@
     (client, Rc::new(RefCell::new(accepted)))
 }
 
-/// Whatever it has sent, all or nothing of it read, a client is there until it parts, and has left from then on. The
-/// runtime hears of neither: nothing is polled in between.
+/// However much a client has sent and the node has read of it, the client counts as connected until it
+/// disconnects, and as disconnected from then on, without the runtime's help: nothing is polled in between.
 #[tokio::test(flavor = "current_thread")]
-async fn a_client_that_parts_has_left_whatever_stands_unread_before_it() {
-    for how in [Parts::Close, Parts::Reset, Parts::Half] {
-        for (sends, reads) in [(0, 0), (5, 0), (5, 5), (5, 3)] {
-            let (mut client, stream) = pair().await;
+async fn a_disconnect_is_seen_however_much_is_unread_before_it() {
+    for kind in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
+        for (sent_bytes, read_bytes) in [(0, 0), (5, 0), (5, 5), (5, 3)] {
+            let (mut client, stream) = connected_pair().await;
             let liveness = Liveness::of(&stream);
-            assert!(!liveness.is_disconnected(), "{how:?} {sends} {reads}");
-            client.write_all(&b"bytes"[..sends]).await.expect("room for it");
-            let mut read = vec![0; reads];
-            let mut come = 0;
-            while come < reads {
-                let ready = stream.borrow().try_read(&mut read[come..]);
+            assert!(!liveness.is_disconnected(), "{kind:?} {sent_bytes} {read_bytes}");
+            client.write_all(&b"bytes"[..sent_bytes]).await.expect("written");
+            let mut read = vec![0; read_bytes];
+            let mut received = 0;
+            while received < read_bytes {
+                let ready = stream.borrow().try_read(&mut read[received..]);
                 match ready {
-                    Ok(length) => come += length,
+                    Ok(length) => received += length,
                     Err(_) => tokio::task::yield_now().await,
                 }
             }
-            assert!(!liveness.is_disconnected(), "{how:?} {sends} {reads}");
-            let _half = part(client, how);
-            assert!(liveness.is_disconnected(), "{how:?} {sends} {reads}");
-            assert!(liveness.is_disconnected(), "asked again: {how:?} {sends} {reads}");
+            assert!(!liveness.is_disconnected(), "{kind:?} {sent_bytes} {read_bytes}");
+            let _half = disconnect(client, kind);
+            assert!(liveness.is_disconnected(), "{kind:?} {sent_bytes} {read_bytes}");
+            assert!(liveness.is_disconnected(), "asked again: {kind:?} {sent_bytes} {read_bytes}");
         }
     }
 }
 
-/// What asks does not keep a connection open, and one that the node has closed has nobody at its end.
+/// A `Liveness` doesn't keep its connection open, and reports a connection that the node has closed as
+/// disconnected.
 #[tokio::test(flavor = "current_thread")]
-async fn a_connection_that_the_node_has_closed_has_nobody_at_its_end() {
-    let (mut client, stream) = pair().await;
+async fn a_connection_that_the_node_has_closed_counts_as_disconnected() {
+    let (mut client, stream) = connected_pair().await;
     let liveness = Liveness::of(&stream);
     drop(stream);
     assert!(liveness.is_disconnected());
@@ -78,7 +79,7 @@
     assert!(!Liveness::default().is_disconnected());
 }
 
-/// Every socket of the node: those that it opens, and those that it accepts.
+/// `TCP_NODELAY` is set on every socket of the node: those that it opens, and those that it accepts.
 #[tokio::test(flavor = "current_thread")]
 async fn no_small_write_is_held_back() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/src/bin/sillward/main.rs
+++ b/src/bin/sillward/main.rs
@@ -1,5 +1,5 @@
-//! One real node: clients on one side, backends and discovery on the other, the decision module between.
-//! This file reads the configuration, starts the parts and sees to signals.
+//! A node: clients on one side, backends and discovery on the other, the decision module between them.
+//! This file reads the configuration, starts the node's tasks and handles signals.
 #![forbid(unsafe_code)]
 
 mod backend;
@@ -36,94 +36,104 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
 
-/// Messages to the node that may wait. Each client connection keeps one place for its leaving.
-const MESSAGES: usize = 4096;
+/// Capacity of the node's message queue. Each request keeps one slot reserved for the disconnect of its
+/// client.
+const MESSAGE_QUEUE: usize = 4096;
 
-/// Connections that may wait to be accepted: a crowd, and the clients in it. Kernels allow no more by default.
-const QUEUE: u32 = 4096;
+/// Listen backlog, the most that kernels allow by default: in a connection flood the other clients must fit
+/// in as well.
+const LISTEN_BACKLOG: u32 = 4096;
 
-/// A configuration of so many bytes is read at SIGHUP where requests are served; a longer one on a thread of its own.
-/// Chosen, and not measured by itself: requests may be late by 3.4 ms, and `benches/settings.rs` shows by how much they are.
-const READ_BETWEEN_REQUESTS: u64 = 64 * 1024;
+/// A configuration up to this length is reloaded on the thread that serves requests, a longer one on a thread
+/// of its own. Requests may be delayed by 3.4 ms; `benches/settings.rs` shows by how much a reload delays
+/// them.
+const INLINE_CONFIG_MAX_BYTES: u64 = 64 * 1024;
 
 fn main() -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start: {e}"));
-    let ended = runtime.and_then(|runtime| {
-        let ended = LocalSet::new().block_on(&runtime, run());
-        runtime.shutdown_background(); // nobody waits for a configuration that is being read
-        ended
+    let outcome = runtime.and_then(|runtime| {
+        let outcome = LocalSet::new().block_on(&runtime, run());
+        runtime.shutdown_background(); // don't wait for a configuration that is being read
+        outcome
     });
-    match ended {
+    match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            log(what);
+        Err(message) => {
+            log(message);
             ExitCode::FAILURE
         }
     }
 }
 
 async fn run() -> Result<(), String> {
-    // First of all: a signal that comes while the configuration is read would end the process.
-    let broken = |e: io::Error| format!("cannot listen for signals: {e}");
-    let mut terminate = signal(SignalKind::terminate()).map_err(broken)?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(broken)?;
-    let hangup = signal(SignalKind::hangup()).map_err(broken)?;
+    // Before anything else: a signal that arrived while the configuration is read would kill the process.
+    let signal_error = |e: io::Error| format!("cannot listen for signals: {e}");
+    let mut terminate = signal(SignalKind::terminate()).map_err(signal_error)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(signal_error)?;
+    let hangup = signal(SignalKind::hangup()).map_err(signal_error)?;
     let config = Config::from_env().map_err(|e| e.to_string())?;
-    // A call that comes while the process before this one is asked for its sockets waits for its answer here.
+    // Bound before the sockets are taken over: a call that arrives meanwhile waits in this socket's queue.
     let ops = match config.ops {
         Some(address) => Some(
             TcpListener::bind(address)
                 .await
-                .map_err(|e| format!("cannot listen for the operators on {address}: {e}"))?,
+                .map_err(|e| format!("cannot listen on the operations address {address}: {e}"))?,
         ),
         None => None,
     };
-    // Only a node that is operated has upgrades; elsewhere a second process for one address is a mistake.
-    let (pair, place) = (Rc::<HotRestart>::default(), config.ops.and_then(|_| handover::meeting_place()));
+    // Hot restart needs an operations address; without one a second process for one address is a mistake.
+    let (hot_restart, socket_path) =
+        (Rc::<HotRestart>::default(), config.ops.and_then(|_| handover::socket_path()));
     let lifecycle = Rc::new(Lifecycle::new());
-    let taken = match &place {
-        Some(place) => handover::take_over(place, config.listen, &pair, &lifecycle).await,
+    let received = match &socket_path {
+        Some(socket_path) => handover::take_over(socket_path, config.listen, &hot_restart, &lifecycle).await,
         None => None,
     };
-    let (listener, meeting) = match taken {
-        Some(Sockets { listener, meeting }) => (Ok(listener), meeting),
+    let (listener, handover_listener) = match received {
+        Some(Sockets { listener, handover_listener }) => (Ok(listener), handover_listener),
         None => (listen(config.listen, config.ops.is_some()), None),
     };
     let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
-    if let Some(place) = place {
+    if let Some(socket_path) = socket_path {
         let socket = listener.as_fd().try_clone_to_owned();
         let socket = socket.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
-        let offered = handover::offer(place, socket, meeting, pair.clone(), lifecycle.clone());
-        tokio::task::spawn_local(offered);
+        let offer = handover::offer_sockets(
+            socket_path,
+            socket,
+            handover_listener,
+            hot_restart.clone(),
+            lifecycle.clone(),
+        );
+        tokio::task::spawn_local(offer);
     }
 
     let clock = Clock::start();
-    let (messages, inbox) = mpsc::channel(MESSAGES);
-    let (orders, discovery_orders) = mpsc::channel(16);
-    let current = LiveSettings::new(config.site.clone());
-    let pool = backend::ConnectionPool::start(clock, &config, current.clone(), pair.clone());
-    let (moved, address) = watch::channel(config.discovery);
-    let discovery = DiscoveryClient::new(&config, current.clone(), address, messages.clone());
+    let (messages, message_queue) = mpsc::channel(MESSAGE_QUEUE);
+    let (commands, discovery_commands) = mpsc::channel(16);
+    let live_settings = LiveSettings::new(config.site.clone());
+    let pool = backend::ConnectionPool::start(clock, &config, live_settings.clone(), hot_restart.clone());
+    let (discovery_address, address) = watch::channel(config.discovery);
+    let discovery = DiscoveryClient::new(&config, live_settings.clone(), address, messages.clone());
     let ready = discovery.ready();
-    let node = node::Node::new(clock, &config, pool, messages.clone(), orders);
+    let node = node::Node::new(clock, &config, pool, messages.clone(), commands);
     let view = MembershipView::default();
     let evacuation = config.zones.as_ref().map(|zones| Duration::from_secs_f64(zones.evacuation_s));
     let state = lifecycle.watch_state();
-    let peers = MembershipDriver::new(&config, view.clone(), messages.clone(), state, pair.clone());
+    let peers = MembershipDriver::new(&config, view.clone(), messages.clone(), state, hot_restart.clone());
     if let Some(peers) = peers.map_err(|e| e.to_string())? {
         let socket = peers.bind().await.map_err(|e| e.to_string())?;
         tokio::task::spawn_local(peers.run(socket));
     }
-    let front = frontend::Frontend::new(
+    let frontend = frontend::Frontend::new(
         clock,
         &config,
-        current.clone(),
+        live_settings.clone(),
         messages.clone(),
-        frontend::Node { ready: ready.clone(), lifecycle: lifecycle.clone(), pair },
+        frontend::NodeState { ready: ready.clone(), lifecycle: lifecycle.clone(), hot_restart },
     );
-    let mut node = tokio::task::spawn_local(node.run(inbox));
-    let mut discovery = tokio::task::spawn_local(discovery.run(discovery_orders));
+    let mut node = tokio::task::spawn_local(node.run(message_queue));
+    let mut discovery = tokio::task::spawn_local(discovery.run(discovery_commands));
     if let Some(listener) = ops {
         let address = listener.local_addr().map_err(|e| format!("cannot listen: {e}"))?;
         log(format_args!("{} takes the operators' calls on {address}", config.name));
@@ -139,9 +149,9 @@
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        log("told to stop: unready, finishing what is held");
+        log("told to stop: unready, finishing the requests in progress");
         lifecycle.enter(ProcessState::Terminating);
-        // Whoever tells it again has been heard already.
+        // Further signals change nothing.
         loop {
             tokio::select! {
                 _ = terminate.recv() => {}
@@ -149,15 +159,22 @@
             }
         }
     });
-    tokio::task::spawn_local(reload(hangup, config.without_known_list(), current, moved, messages));
+    tokio::task::spawn_local(reload(
+        hangup,
+        config.without_known_list(),
+        live_settings,
+        discovery_address,
+        messages,
+    ));
     tokio::select! {
-        () = front.run(listener) => Ok(()),
-        ended = &mut node => Err(format!("the node ended: {ended:?}")),
-        ended = &mut discovery => Err(format!("discovery ended: {ended:?}")),
+        () = frontend.run(listener) => Ok(()),
+        outcome = &mut node => Err(format!("the node ended: {outcome:?}")),
+        outcome = &mut discovery => Err(format!("discovery ended: {outcome:?}")),
     }
 }
 
-/// Listens on an address, beside a process that could not pass its own socket on if that is to be.
+/// Listens on an address. A `shared` one may be bound beside another process that could not pass its socket
+/// on.
 fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -165,45 +182,46 @@
         socket.set_reuseport(true)?;
     }
     socket.bind(address)?;
-    socket.listen(QUEUE)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// On SIGHUP the configuration is read again. Where discovery is and the settings may change while a node runs, and
-/// nothing else: both at once, or neither. A signal that comes meanwhile has it read once more.
+/// Reloads the configuration at each SIGHUP. Only the address of discovery and the settings may change while
+/// a node runs: both are applied, or neither. A signal that arrives during a reload causes another one.
 async fn reload(
     mut hangup: Signal,
     running: Config,
-    current: LiveSettings,
-    moved: watch::Sender<SocketAddr>,
+    live_settings: LiveSettings,
+    discovery_address: watch::Sender<SocketAddr>,
     messages: mpsc::Sender<Message>,
 ) {
     let mut running = Arc::new(running);
     while hangup.recv().await.is_some() {
-        let (config, replacement) = match read_again(running.clone()).await {
+        let (config, replacement) = match read_configuration(running.clone()).await {
             Ok(read) => read,
-            Err(what) => {
-                log(format_args!("told to look again, but all stays as it was: {what}"));
+            Err(message) => {
+                log(format_args!("told to look again, but all stays as it was: {message}"));
                 continue;
             }
         };
-        // The place in the queue comes first: nothing may happen between the swap and the news of it, or a
-        // request could be read by one settings and decided on by others.
-        let Ok(place) = messages.reserve().await else { return };
+        // The queue slot is reserved first: no await may come between the swap and its message, or a request
+        // could be validated by the old settings and decided by the new ones.
+        let Ok(permit) = messages.reserve().await else { return };
         log(format_args!(
             "told to look again: discovery is at {}, classes are {}",
             config.discovery,
             config.site.class_names.summary()
         ));
-        moved.send_if_modified(|address| std::mem::replace(address, config.discovery) != *address);
-        current.set(config.site.clone());
-        place.send(Message::Settings(Box::new(replacement)));
+        discovery_address
+            .send_if_modified(|address| std::mem::replace(address, config.discovery) != *address);
+        live_settings.set(config.site.clone());
+        permit.send(Message::Settings(Box::new(replacement)));
         running = Arc::new(config);
     }
 }
 
-/// Reads the configuration that follows `running`, a large one beside the thread that serves.
-async fn read_again(running: Arc<Config>) -> Result<(Config, SettingsUpdate), ConfigFileError> {
-    if Config::file_length().is_some_and(|length| length <= READ_BETWEEN_REQUESTS) {
+/// Reads the configuration that replaces `running`, a large one off the thread that serves requests.
+async fn read_configuration(running: Arc<Config>) -> Result<(Config, SettingsUpdate), ConfigFileError> {
+    if Config::file_length().is_some_and(|length| length <= INLINE_CONFIG_MAX_BYTES) {
         return running.reload();
     }
     let read = tokio::task::spawn_blocking(move || running.reload());
