--- a/src/bin/sillward/frontend/tests.rs
+++ b/src/bin/sillward/frontend/tests.rs
@@ -65,7 +65,10 @@
 async fn a_later_head_is_timed_from_its_first_byte() {
     let client = Client::new(Liveness::default());
     let advance = async |ms| tokio::time::advance(Duration::from_millis(ms)).await;
-    let is_waiting = |client: &Client| matches!(client.check_timeout(), TimeoutAction::CheckAgain(time) if time > Instant::now());
+    let is_waiting = |client: &Client| {
+        matches!(client.check_timeout(),
+        TimeoutAction::CheckAgain(time) if time > Instant::now())
+    };
     // The first head is timed from the connect.
     advance(2000).await;
     client.record_read();
--- a/src/bin/sillward/ops.rs
+++ b/src/bin/sillward/ops.rs
@@ -132,17 +132,17 @@
     async fn answer(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
         let (head, body) = request.into_parts();
         let Some(call) = Call::from_path(head.uri.path()) else {
-            return Ok(plain_text(StatusCode::NOT_FOUND, "no such call"));
+            return Ok(respond(StatusCode::NOT_FOUND, "no such call"));
         };
         let allowed = call.method();
         if head.method != allowed {
-            let mut response = plain_text(StatusCode::METHOD_NOT_ALLOWED, "wrong method for this call");
+            let mut response = respond(StatusCode::METHOD_NOT_ALLOWED, "wrong method for this call");
             let allowed = HeaderValue::from_static(if allowed == Method::GET { "GET" } else { "POST" });
             response.headers_mut().insert(ALLOW, allowed);
             return Ok(response);
         }
         if Limited::new(body, BODY_LIMIT_BYTES).collect().await.is_err() {
-            return Ok(plain_text(StatusCode::BAD_REQUEST, "a body that is broken or too long"));
+            return Ok(respond(StatusCode::BAD_REQUEST, "a body that is broken or too long"));
         }
         Ok(match call {
             Call::Status => self.status(),
@@ -151,7 +151,7 @@
             Call::Subset => self.subset().await,
             Call::Evacuate(zone) => match self.evacuation_duration(head.uri.query()) {
                 Ok(duration) => self.zones(Some((zone, Some(duration)))).await,
-                Err(message) => plain_text(StatusCode::BAD_REQUEST, message),
+                Err(message) => respond(StatusCode::BAD_REQUEST, message),
             },
             Call::Restore(zone) => self.zones(Some((zone, None))).await,
             Call::Enter(state) => self.enter(state),
@@ -171,13 +171,11 @@
     async fn subset(&self) -> Response<Full<Bytes>> {
         let (reply, answer) = oneshot::channel();
         if self.messages.send(Message::SubsetQuery(reply)).await.is_err() {
-            return plain_text(StatusCode::SERVICE_UNAVAILABLE, "terminating");
+            return respond(StatusCode::SERVICE_UNAVAILABLE, "terminating");
         }
         match answer.await.ok().flatten() {
             Some(subset) => json_response(&json!(subset)),
-            None => {
-                plain_text(StatusCode::NOT_FOUND, "no subset is configured: the node holds the whole list")
-            }
+            None => respond(StatusCode::NOT_FOUND, "no subset is configured: the node holds the whole list"),
         }
     }
 
@@ -186,19 +184,19 @@
         let (reply, answer) = oneshot::channel();
         let evacuation = command.map(|(zone, duration)| EvacuationCommand { zone: zone.into(), duration });
         if self.messages.send(Message::ZoneQuery(evacuation, reply)).await.is_err() {
-            return plain_text(StatusCode::SERVICE_UNAVAILABLE, "terminating");
+            return respond(StatusCode::SERVICE_UNAVAILABLE, "terminating");
         }
         let zones = answer.await.ok().flatten();
         let Some(zones) =
             zones.filter(|zones| command.is_none_or(|(name, _)| zones.iter().any(|z| z.name == name)))
         else {
-            return plain_text(StatusCode::NOT_FOUND, "no such zone, or no zones are configured");
+            return respond(StatusCode::NOT_FOUND, "no such zone, or no zones are configured");
         };
         let was_refused = |(name, duration): (&str, Option<Duration>)| {
             duration.is_some() && zones.iter().any(|zone| zone.name == name && zone.evacuation_left.is_none())
         };
         if command.is_some_and(was_refused) {
-            return plain_text(StatusCode::CONFLICT, "no other zone works: it stays in use");
+            return respond(StatusCode::CONFLICT, "no other zone works: it stays in use");
         }
         let all: Vec<_> = zones.iter().map(zone_json).collect();
         json_response(&json!({ "zones": all }))
@@ -208,17 +206,17 @@
     /// checked.
     fn status(&self) -> Response<Full<Bytes>> {
         match (self.lifecycle.now().state, self.ready.get()) {
-            (ProcessState::Terminating, _) => plain_text(StatusCode::SERVICE_UNAVAILABLE, "terminating"),
-            (_, false) => plain_text(StatusCode::SERVICE_UNAVAILABLE, "starting: no list of servers yet"),
-            (ProcessState::Active, true) => plain_text(StatusCode::OK, "active"),
-            (ProcessState::Standby, true) => plain_text(StatusCode::OK, "standby"),
+            (ProcessState::Terminating, _) => respond(StatusCode::SERVICE_UNAVAILABLE, "terminating"),
+            (_, false) => respond(StatusCode::SERVICE_UNAVAILABLE, "starting: no list of servers yet"),
+            (ProcessState::Active, true) => respond(StatusCode::OK, "active"),
+            (ProcessState::Standby, true) => respond(StatusCode::OK, "standby"),
         }
     }
 
     /// Reports what this node knows of the others.
     fn members(&self) -> Response<Full<Bytes>> {
         let Some(view) = self.view.to_json() else {
-            return plain_text(StatusCode::NOT_FOUND, "no fleet is configured");
+            return respond(StatusCode::NOT_FOUND, "no fleet is configured");
         };
         json_response(&view)
     }
@@ -229,7 +227,7 @@
         if previous_state == ProcessState::Terminating {
             // Connections are being closed already, and that can't be undone.
             let status = if state == ProcessState::Standby { StatusCode::OK } else { StatusCode::CONFLICT };
-            return plain_text(status, "terminating");
+            return respond(status, "terminating");
         }
         self.lifecycle.enter(state);
         if previous_state != state {
@@ -237,7 +235,7 @@
                 "the operations address: the state changes from {previous_state:?} to {state:?}"
             ));
         }
-        plain_text(StatusCode::OK, if state == ProcessState::Standby { "standby" } else { "active" })
+        respond(StatusCode::OK, if state == ProcessState::Standby { "standby" } else { "active" })
     }
 }
 
@@ -255,7 +253,7 @@
     response
 }
 
-fn plain_text(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+fn respond(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(format!("{text}\n"))));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/tests/bodies/mod.rs
+++ b/tests/bodies/mod.rs
@@ -1,4 +1,4 @@
-//! Bodies that are longer than the node keeps, slow ones, and HTTP/1.1's other ways to frame them.
+//! Bodies that are too long to buffer, slow bodies, and the ways in which HTTP/1.1 frames bodies.
 
 use crate::harness::*;
 use std::io::{Read, Write};
@@ -8,16 +8,16 @@
 use std::sync::{Arc, Mutex};
 use std::thread::spawn;
 
-const LONG: u64 = 20_000;
+const DEADLINE_MS: u64 = 20_000;
 const MIB: usize = 1 << 20;
 
-/// Bytes of which no stretch looks like another.
+/// Pseudo-random bytes, so that lost or reordered parts are noticed.
 fn bytes(length: usize) -> Vec<u8> {
     (0..length as u64).map(|i| (i.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 56) as u8).collect()
 }
 
 #[test]
-fn long_bodies_pass_both_ways_however_they_are_framed() {
+fn long_bodies_are_streamed_both_ways_in_every_framing() {
     let backend = Backend::start(|message| {
         let body = message.body.clone();
         match &message.start_line {
@@ -35,14 +35,15 @@
             _ => Reply::Answer("200 OK", "", body),
         }
     });
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     for length in [1, 64 * 1024, 64 * 1024 + 1, 3 * MIB, 32 * MIB] {
-        for way in ["length", "chunked", "until-closed"] {
+        for framing in ["length", "chunked", "until-closed"] {
             let (mut client, sent) = (node.client(), bytes(length));
-            if way == "length" {
-                client.send(&format!("POST /correct/{way}"), &common_headers(LONG), &sent);
+            if framing == "length" {
+                client.send(&format!("POST /correct/{framing}"), &common_headers(DEADLINE_MS), &sent);
             } else {
-                let head = format!("POST /correct/{way} HTTP/1.1\r\nHost: a\r\n{}", common_headers(LONG));
+                let head =
+                    format!("POST /correct/{framing} HTTP/1.1\r\nHost: a\r\n{}", common_headers(DEADLINE_MS));
                 client.write(format!("{head}Transfer-Encoding: chunked\r\n\r\n").as_bytes());
                 for chunk in sent.chunks(100_003) {
                     client.write(&[format!("{:x}\r\n", chunk.len()).as_bytes(), chunk, b"\r\n"].concat());
@@ -50,39 +51,43 @@
                 client.write(b"0\r\nX-Trailer: 1\r\n\r\n");
             }
             let answer = client.answer().expect("an answer");
-            assert_eq!((answer.status(), answer.body.len()), (200, length), "{way}");
-            assert!(answer.body == sent, "{way}: {length} bytes came back changed");
-            assert!(backend.next_request().1.body == sent, "{way}: {length} bytes were passed on changed");
+            assert_eq!((answer.status(), answer.body.len()), (200, length), "{framing}");
+            assert!(answer.body == sent, "{framing}: {length} bytes came back changed");
+            assert!(
+                backend.next_request().1.body == sent,
+                "{framing}: {length} bytes were passed on changed"
+            );
         }
     }
 }
 
 #[test]
-fn more_at_once_than_memory_holds_is_passed_on_as_fast_as_it_is_read() {
-    let (go, gate) = channel::<()>();
-    let gate = Arc::new(Mutex::new(gate));
-    // One for each: a new node sends no two at once to one backend.
+fn bodies_longer_than_memory_are_streamed_with_backpressure() {
+    let (release, release_gate) = channel::<()>();
+    let release_gate = Arc::new(Mutex::new(release_gate));
+    // One backend for each client: a new node sends no two requests at once to one backend.
     let backends: Vec<_> = (0..6)
         .map(|_| {
-            let gate = gate.clone();
+            let release_gate = release_gate.clone();
             Backend::start(move |message| {
                 let length = message.body.len();
-                let gate = gate.clone();
+                let release_gate = release_gate.clone();
                 Reply::Write(Box::new(move |stream| {
                     let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
                     let _ = stream.write_all(&bytes(length));
-                    // Nobody ends before all have begun.
-                    let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
+                    // No response ends before all have begun.
+                    let _ = release_gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
                 }))
             })
         })
         .collect();
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &backends.iter().collect::<Vec<_>>());
+    let (node, _watch, _discovery) =
+        serving_node(&settings(DEADLINE_MS, ""), &backends.iter().collect::<Vec<_>>());
     let before = node.peak_memory();
     let mut clients: Vec<_> = (0..6)
         .map(|_| {
             let mut client = node.client();
-            client.send("POST /correct/1", &common_headers(LONG), &bytes(16 * MIB));
+            client.send("POST /correct/1", &common_headers(DEADLINE_MS), &bytes(16 * MIB));
             client
         })
         .collect();
@@ -90,15 +95,15 @@
     for client in &mut clients {
         assert_eq!(client.read_line(), "HTTP/1.1 200 OK\r\n");
     }
-    // 192 MiB are under way, half of them unread.
+    // 192 MiB are in transit, half of them unread.
     assert!(node.peak_memory() - before < 16 * MIB, "{} bytes", node.peak_memory() - before);
-    (0..6).for_each(|_| go.send(()).expect("a backend waits"));
+    (0..6).for_each(|_| release.send(()).expect("a backend waits"));
 }
 
 #[test]
-fn a_connection_that_has_brought_a_long_answer_is_used_again() {
+fn a_backend_connection_is_reused_after_a_streamed_response() {
     let backend = Backend::start(|_| Reply::Answer("200 OK", "", bytes(MIB)));
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     let mut client = node.client();
     for _ in 0..5 {
         assert_eq!(client.request_correct().body.len(), MIB);
@@ -107,7 +112,7 @@
 }
 
 #[test]
-fn an_answer_that_breaks_midway_does_not_look_whole() {
+fn a_response_that_breaks_off_does_not_look_complete() {
     for head in ["Content-Length: 9000000", "Transfer-Encoding: chunked"] {
         let backend = Backend::start(move |_| {
             Reply::Write(Box::new(move |stream| {
@@ -116,28 +121,28 @@
                 let _ = stream.write_all(&[chunk.as_bytes(), &bytes(MIB)].concat());
             }))
         });
-        let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+        let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
         let mut client = node.client();
         client.send_correct();
-        let all = client.read_to_end();
+        let received = client.read_to_end();
         assert!(
-            all.starts_with(b"HTTP/1.1 200 OK\r\n") && all.len() > MIB / 2,
+            received.starts_with(b"HTTP/1.1 200 OK\r\n") && received.len() > MIB / 2,
             "{head}: {} bytes",
-            all.len()
+            received.len()
         );
-        assert!(all.len() < 9_000_000 && !all.ends_with(b"0\r\n\r\n"), "{head}");
+        assert!(received.len() < 9_000_000 && !received.ends_with(b"0\r\n\r\n"), "{head}");
     }
 }
 
 #[test]
-fn the_first_bytes_of_an_answer_of_unknown_length_are_not_held_for_its_last() {
-    let (go, gate) = channel::<()>();
-    let gate = Arc::new(Mutex::new(gate));
+fn the_first_bytes_of_a_chunked_response_are_not_held_back_for_its_last() {
+    let (release, release_gate) = channel::<()>();
+    let release_gate = Arc::new(Mutex::new(release_gate));
     let backend = Backend::start(move |_| {
-        let gate = gate.clone();
+        let release_gate = release_gate.clone();
         Reply::Write(Box::new(move |stream| {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
-            let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
+            let _ = release_gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
             let _ = stream.write_all(b"4\r\nlast\r\n0\r\n\r\n");
         }))
     });
@@ -145,14 +150,14 @@
     let mut client = node.client();
     client.send("POST /correct/1", &common_headers(4000), b"sheet");
     while client.read_line() != "first\r\n" {}
-    // Its time is over by now, or soon; it goes on all the same.
+    // The deadline has passed or is about to; the response goes on all the same.
     std::thread::sleep(std::time::Duration::from_millis(2500));
-    go.send(()).expect("the backend waits");
+    release.send(()).expect("the backend waits");
     assert_eq!((client.read_line(), client.read_line()), ("4\r\n".to_owned(), "last\r\n".to_owned()));
 }
 
 #[test]
-fn a_long_request_that_its_backend_cuts_off_is_refused_and_sent_nowhere_else() {
+fn a_streamed_request_that_its_backend_breaks_off_is_refused_and_not_retried() {
     let accepted = Arc::new(AtomicUsize::new(0));
     let addresses = [0, 1].map(|_| {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -160,45 +165,45 @@
         spawn(move || {
             for stream in listener.incoming() {
                 accepted.fetch_add(1, Ordering::SeqCst);
-                // A piece of it, and then the connection breaks.
+                // Reads part of the request, then closes the connection.
                 let _ = stream.expect("a connection").read_exact(&mut [0; 100_000]);
             }
         });
         address
     });
-    let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[]);
+    let (node, mut watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &[]);
     let entries = addresses.map(|address| entry(&format!("s-{address}"), address, "in_service"));
     watch.send_line(&list(9, true, &entries));
     let mut client = node.client();
-    // All of it can be sent: the answer comes over what nobody wants any more.
-    let answer = client.request("POST /correct/1", &common_headers(LONG), &bytes(8 * MIB));
+    // The client can send all of it: the rest is read and discarded, so that the response arrives.
+    let answer = client.request("POST /correct/1", &common_headers(DEADLINE_MS), &bytes(8 * MIB));
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("1.500")), "it never ran");
     assert_eq!(accepted.load(Ordering::SeqCst), 1);
     assert!(node.is_ready());
 }
 
 #[test]
-fn a_long_request_is_sent_elsewhere_as_long_as_none_of_it_has_been() {
-    let gone = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
+fn a_streamed_request_is_retried_while_none_of_it_has_been_sent() {
+    let unused_address = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
-    let (node, mut watch, _discovery) = serving_node(&settings(LONG, ""), &[]);
-    let entries = [entry("s-0", gone, "in_service"), entry("s-1", backend.address, "in_service")];
+    let (node, mut watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &[]);
+    let entries = [entry("s-0", unused_address, "in_service"), entry("s-1", backend.address, "in_service")];
     watch.send_line(&list(9, true, &entries));
     for _ in 0..6 {
-        let answer = node.client().request("POST /correct/1", &common_headers(LONG), &bytes(MIB));
+        let answer = node.client().request("POST /correct/1", &common_headers(DEADLINE_MS), &bytes(MIB));
         assert_eq!((answer.status(), answer.body), (200, MIB.to_string().into_bytes()));
     }
 }
 
 #[test]
-fn a_client_that_falls_silent_in_a_body_is_told_so_and_its_request_never_runs() {
+fn a_client_that_is_idle_within_a_body_gets_an_error_and_its_request_never_runs() {
     let backend = Backend::start(|_| ok(""));
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     for (sent, status) in [(9, 408), (200_000, 503)] {
         let mut client = node.client();
         let head = format!(
             "POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: 300000\r\n\r\n",
-            common_headers(LONG)
+            common_headers(DEADLINE_MS)
         );
         client.write(&[head.as_bytes(), &bytes(sent)].concat());
         assert_eq!(client.answer().expect("an answer").status(), status, "{sent} bytes");
@@ -208,9 +213,9 @@
 }
 
 #[test]
-fn the_time_of_a_request_begins_with_the_last_byte_of_its_body() {
+fn the_deadline_of_a_request_counts_from_the_last_byte_of_its_body() {
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
-    // Sending it takes longer than an answer may; no pause is long.
+    // Sending the body takes longer than the deadline, without a long pause.
     let (node, _watch, _discovery) = serving_node(&settings(3000, ""), &[&backend]);
     let mut client = node.client();
     let head = format!(
@@ -227,12 +232,12 @@
 }
 
 #[test]
-fn expectations_and_pipelines_are_met() {
+fn expect_continue_and_pipelining_work() {
     let backend = Backend::start(|message| ok(&message.start_line));
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     let mut client = node.client();
     let head = |path: &str| {
-        format!("POST {path} HTTP/1.1\r\nHost: a\r\n{}Content-Length: 5\r\n", common_headers(LONG))
+        format!("POST {path} HTTP/1.1\r\nHost: a\r\n{}Content-Length: 5\r\n", common_headers(DEADLINE_MS))
     };
     client.write(format!("{}Expect: 100-continue\r\n\r\n", head("/correct/waits")).as_bytes());
     assert_eq!(
@@ -241,7 +246,7 @@
     );
     client.write(b"sheet");
     assert_eq!(client.answer().expect("an answer").body, b"POST /correct/waits HTTP/1.1");
-    // Both at once, the second a byte at a time.
+    // Pipelined requests, the second one sent byte by byte.
     client.write(format!("{}\r\nsheet", head("/correct/one")).as_bytes());
     for byte in format!("{}\r\nsheet", head("/correct/two")).as_bytes() {
         client.write(&[*byte]);
@@ -251,9 +256,9 @@
 }
 
 #[test]
-fn lengths_that_make_no_sense_are_told_so() {
+fn invalid_body_lengths_get_an_error() {
     let backend = Backend::start(|_| ok(""));
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     for lengths in [
         "Content-Length: 5\r\nContent-Length: 6\r\n",
         "Content-Length: -5\r\n",
@@ -261,35 +266,37 @@
         "Transfer-Encoding: chunked, gzip\r\n",
     ] {
         let mut client = node.client();
-        let head =
-            format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}{lengths}\r\nsheet", common_headers(LONG));
+        let head = format!(
+            "POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}{lengths}\r\nsheet",
+            common_headers(DEADLINE_MS)
+        );
         client.write(head.as_bytes());
         let status = client.answer().expect("an answer").status();
         assert!((400..500).contains(&status), "{lengths}: {status}");
         assert!(client.is_closed(), "{lengths}");
     }
-    // Chunks that are none.
+    // An invalid chunk header.
     let mut client = node.client();
-    let head = format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}", common_headers(LONG));
+    let head = format!("POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}", common_headers(DEADLINE_MS));
     client.write(format!("{head}Transfer-Encoding: chunked\r\n\r\nfive\r\nsheet").as_bytes());
     assert_eq!(client.answer().expect("an answer").status(), 400);
     assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
-fn kept_bodies_take_a_part_of_memory_and_who_finds_no_room_waits() {
-    let (go, gate) = channel::<()>();
-    let gate = Arc::new(Mutex::new(gate));
+fn buffered_bodies_take_a_limited_part_of_memory_and_others_wait() {
+    let (release, release_gate) = channel::<()>();
+    let release_gate = Arc::new(Mutex::new(release_gate));
     let backends = [0, 1].map(|_| {
-        let gate = gate.clone();
+        let release_gate = release_gate.clone();
         Backend::start(move |_| {
-            let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
+            let _ = release_gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
             ok("fine")
         })
     });
     let discovery = Discovery::start();
-    // A quarter of this is room for one.
-    let config = config(discovery.address, &settings(LONG, ""), 1024)
+    // A quarter of this is memory for one buffered body.
+    let config = config(discovery.address, &settings(DEADLINE_MS, ""), 1024)
         .replace(r#""memory_mb":192"#, r#""memory_mb":0"#);
     let node = Node::start(&config, "");
     let mut watch = discovery.next_call();
@@ -298,20 +305,20 @@
         [entry("s-0", backends[0].address, "in_service"), entry("s-1", backends[1].address, "in_service")];
     watch.send_line(&list(8, true, &entries));
     wait_until(|| node.is_ready(), "readiness");
-    let all = || backends.iter().map(Backend::request_count).sum::<usize>();
+    let request_total = || backends.iter().map(Backend::request_count).sum::<usize>();
     let (mut first, mut second, mut small) = (node.client(), node.client(), node.client());
-    first.send("POST /correct/1", &common_headers(LONG), &bytes(60_000));
-    wait_until(|| all() == 1, "the first at a backend");
-    second.send("POST /correct/2", &common_headers(LONG), &bytes(60_000));
-    // A small one needs no room, and comes by.
+    first.send("POST /correct/1", &common_headers(DEADLINE_MS), &bytes(60_000));
+    wait_until(|| request_total() == 1, "the first at a backend");
+    second.send("POST /correct/2", &common_headers(DEADLINE_MS), &bytes(60_000));
+    // A small body needs no reserved memory, and does not wait.
     small.send_correct();
-    wait_until(|| all() == 2, "the small one at a backend");
-    go.send(()).and_then(|()| go.send(())).expect("the backends wait");
+    wait_until(|| request_total() == 2, "the small one at a backend");
+    release.send(()).and_then(|()| release.send(())).expect("the backends wait");
     assert_eq!(
         (first.answer().expect("an answer").status(), small.answer().expect("an answer").status()),
         (200, 200)
     );
-    wait_until(|| all() == 3, "the second one at a backend");
-    go.send(()).expect("a backend waits");
+    wait_until(|| request_total() == 3, "the second one at a backend");
+    release.send(()).expect("a backend waits");
     assert_eq!(second.answer().expect("an answer").status(), 200);
 }
--- a/tests/operations/mod.rs
+++ b/tests/operations/mod.rs
@@ -1,4 +1,5 @@
-//! The node in the hands of its staff: the operations address, drains, new settings, upgrades.
+//! What operators do with a node: calls to the operations address, drains, reloads of the settings, hot
+//! restarts.
 
 use crate::harness::*;
 use std::io::{Read, Write};
@@ -8,19 +9,19 @@
 use std::sync::{Arc, Mutex};
 use std::thread::spawn;
 
-const LONG: u64 = 20_000;
+const DEADLINE_MS: u64 = 20_000;
 
 // ---- The operations address ---------------------------------------------------------------------
 
 #[test]
-fn the_status_is_yes_once_the_node_has_a_list_and_other_calls_are_told_what_is_wrong() {
+fn status_is_200_once_the_node_has_a_list_and_wrong_calls_get_an_error() {
     let discovery = Discovery::start();
-    let node = Node::start(&with_ops(&config(discovery.address, &settings(LONG, ""), 1024)), "");
+    let node = Node::start(&with_ops(&config(discovery.address, &settings(DEADLINE_MS, ""), 1024)), "");
     let mut watch = discovery.next_call();
     assert_eq!(node.ops_call("GET /status"), 503, "it has no list");
     watch.open();
     watch.send_line(&list(8, true, &[]));
-    wait_until(|| node.ops_call("GET /status") == 200, "a yes");
+    wait_until(|| node.ops_call("GET /status") == 200, "status 200");
     for (call, status) in [
         ("GET /", 404),
         ("GET /status/", 404),
@@ -41,8 +42,8 @@
 }
 
 #[test]
-fn silent_and_half_calls_delay_no_good_one_and_are_sent_off() {
-    let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[]);
+fn idle_and_incomplete_calls_delay_no_other_call_and_are_closed() {
+    let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &[]);
     let address = node.ops_address();
     let mut stuck: Vec<_> = ["", "POST /stan", "POST /standby HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"]
         .iter()
@@ -61,21 +62,21 @@
     assert!(node.is_ready(), "half a call drains nothing");
     for stream in &mut stuck {
         let mut rest = Vec::new();
-        // An end or a reset: either way it is over.
+        // The connection is closed or reset.
         let _ = stream.read_to_end(&mut rest);
         assert!(!rest.starts_with(b"HTTP/1.1 2"), "{}", String::from_utf8_lossy(&rest));
     }
 }
 
 #[test]
-fn without_an_operations_address_the_node_runs_as_before() {
+fn without_an_operations_address_the_node_serves_clients() {
     let discovery = Discovery::start();
-    let node = Node::start(&config(discovery.address, &settings(LONG, ""), 1024), "");
+    let node = Node::start(&config(discovery.address, &settings(DEADLINE_MS, ""), 1024), "");
     let mut watch = discovery.next_call();
     watch.open();
     watch.send_line(&list(8, true, &[]));
     wait_until(|| node.is_ready(), "readiness");
-    // Its calls mean nothing on the clients' address.
+    // The calls have no meaning on the clients' address.
     assert_eq!(node.client().request("POST /standby", "", b"").status(), 404);
     assert!(node.is_ready());
 }
@@ -83,14 +84,14 @@
 // ---- Drain --------------------------------------------------------------------------------------
 
 #[test]
-fn a_drained_node_sends_its_clients_away_and_comes_back() {
-    let (go, gate) = channel::<()>();
-    let gate = Arc::new(Mutex::new(gate));
+fn a_drained_node_closes_its_connections_and_can_be_made_active_again() {
+    let (release, release_gate) = channel::<()>();
+    let release_gate = Arc::new(Mutex::new(release_gate));
     let backend = Backend::start(move |_| {
-        let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
+        let _ = release_gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
         ok("held")
     });
-    let (mut node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (mut node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     let (mut held, mut idle, mut fresh) = (node.client(), node.client(), node.client());
     assert_eq!(idle.request("GET /health/ready", "", b"").header("connection"), None);
     held.send_correct();
@@ -100,9 +101,9 @@
         assert!(!node.is_ready());
     }
     assert_eq!(node.ops_call("GET /status"), 200, "it can serve all the same");
-    // Whoever waits for an answer gets it, and goes; so does who has nothing to ask.
+    // A client that waits for a response gets it, and its connection is closed; so are idle connections.
     assert!(idle.is_closed() && fresh.is_closed());
-    go.send(()).expect("the backend waits");
+    release.send(()).expect("the backend waits");
     let answer = held.answer().expect("what was taken is answered");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(held.is_closed());
@@ -110,44 +111,44 @@
         assert_eq!(node.ops_call("POST /active"), 200);
         assert!(node.is_ready());
     }
-    go.send(()).expect("the backend waits");
-    let mut back = node.client();
-    let answer = back.request_correct();
+    release.send(()).expect("the backend waits");
+    let mut returning = node.client();
+    let answer = returning.request_correct();
     assert_eq!((answer.status(), answer.header("connection")), (200, None));
 
-    // On its way out it can't be called back.
-    back.send_correct();
+    // A node that shuts down can't be made active again.
+    returning.send_correct();
     wait_until(|| backend.request_count() == 3, "the request at a backend");
     node.terminate();
     node.wait_for_log("told to stop");
     assert_eq!((node.ops_call("POST /active"), node.ops_call("POST /standby")), (409, 200));
     assert!(!node.is_ready());
     assert_eq!(node.ops_call("GET /status"), 503);
-    go.send(()).expect("the backend waits");
-    assert_eq!(back.answer().expect("an answer").header("connection"), Some("close"));
+    release.send(()).expect("the backend waits");
+    assert_eq!(returning.answer().expect("an answer").header("connection"), Some("close"));
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
 #[test]
-fn what_has_not_come_whole_soon_after_a_node_is_told_to_stop_is_let_go_with_an_answer() {
+fn requests_still_incomplete_shortly_after_sigterm_are_refused_with_a_response() {
     let backend = Backend::start(|_| ok("fine"));
-    let (mut node, _watch, _discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (mut node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     let head = |length: usize| {
         format!(
             "POST /correct/1 HTTP/1.1\r\nHost: a\r\n{}Content-Length: {length}\r\n\r\n",
-            common_headers(LONG)
+            common_headers(DEADLINE_MS)
         )
     };
-    let over = Arc::new(AtomicBool::new(false));
-    // Both go on sending for as long as they may: one kept whole, one that has begun to pass through.
+    let stopping = Arc::new(AtomicBool::new(false));
+    // Both keep sending slowly: one body to be buffered, one that is being streamed.
     let mut slow: Vec<_> = [(9_000, 60_000), (1 << 20, 2 << 20)]
         .into_iter()
         .map(|(sent, length)| {
             let mut client = node.client();
             client.write(&[head(length).as_bytes(), &vec![b'x'; sent]].concat());
-            let (mut sender, over) = (client.write_handle(), over.clone());
+            let (mut sender, stopping) = (client.write_handle(), stopping.clone());
             spawn(move || {
-                while !over.load(Ordering::SeqCst) && sender.write_all(b"x").is_ok() {
+                while !stopping.load(Ordering::SeqCst) && sender.write_all(b"x").is_ok() {
                     std::thread::sleep(std::time::Duration::from_millis(20));
                 }
             });
@@ -156,7 +157,7 @@
         .collect();
     let mut half = node.client();
     half.write(b"POST /corr");
-    // All of that has come when a later request is answered.
+    // All of that has arrived once a later request is answered.
     assert_eq!(node.client().request("GET /health/ready", "", b"").status(), 200);
     node.terminate();
     for client in &mut slow {
@@ -164,40 +165,41 @@
         assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
     }
     assert!(half.is_closed());
-    over.store(true, Ordering::SeqCst);
+    stopping.store(true, Ordering::SeqCst);
     drop(slow);
     assert_eq!(node.wait_for_exit().code(), Some(0));
     assert_eq!(backend.request_count(), 0);
 }
 
-// ---- New settings -------------------------------------------------------------------------------
+// ---- Reload -------------------------------------------------------------------------------------
 
 #[test]
 fn new_settings_hold_for_new_requests_and_old_ones_for_open_ones() {
-    let ((go, gate), (go_once, gate_once)) = (channel::<()>(), channel::<()>());
-    let gates = [("/read/hold", gate), ("/correct/hold", gate_once)];
-    let gates = Arc::new(gates.map(|(path, gate)| (path, Mutex::new(gate))));
+    let ((release, release_gate), (release_once, release_gate_once)) = (channel::<()>(), channel::<()>());
+    let release_gates = [("/read/hold", release_gate), ("/correct/hold", release_gate_once)];
+    let release_gates = Arc::new(release_gates.map(|(path, release_gate)| (path, Mutex::new(release_gate))));
     let backends = [0, 1, 2].map(|_| {
-        let gates = gates.clone();
+        let release_gates = release_gates.clone();
         Backend::start(move |message| {
-            let gate = gates.iter().find(|(path, _)| message.start_line.contains(path));
-            let Some((_, gate)) = gate else { return ok("fine") };
-            let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
+            let release_gate = release_gates.iter().find(|(path, _)| message.start_line.contains(path));
+            let Some((_, release_gate)) = release_gate else { return ok("fine") };
+            let _ = release_gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
             Reply::Answer("500 Oops", "", vec![])
         })
     });
-    let all = || backends.iter().map(Backend::request_count).sum::<usize>();
-    let before = settings(LONG, "");
+    let request_total = || backends.iter().map(Backend::request_count).sum::<usize>();
+    let before = settings(DEADLINE_MS, "");
     let (node, _watch, discovery) = serving_node(&before, &backends.each_ref());
-    let (mut safe, mut once) = (node.client(), node.client());
-    safe.send("GET /read/hold", &common_headers(LONG), b"");
-    once.send("POST /correct/hold", &common_headers(LONG), b"sheet");
-    wait_until(|| all() == 2, "both requests at backends");
+    let (mut idempotent, mut single_shot) = (node.client(), node.client());
+    idempotent.send("GET /read/hold", &common_headers(DEADLINE_MS), b"");
+    single_shot.send("POST /correct/hold", &common_headers(DEADLINE_MS), b"sheet");
+    wait_until(|| request_total() == 2, "both requests at backends");
 
-    // `read` is no longer safe, `correct` is dropped, `count` is new and comes first, and one attempt is left.
+    // `read` is no longer idempotent, `correct` is gone, `count` is new and comes first, and only one attempt
+    // is allowed.
     let class = |name: &str, kind: &str| {
         format!(
-            r#"{{"Name":"{name}","Target":{LONG},"GiveUp":{LONG},"Idempotency":"{kind}","Group":"zone","Window":60000}}"#
+            r#"{{"Name":"{name}","Target":{DEADLINE_MS},"GiveUp":{DEADLINE_MS},"Idempotency":"{kind}","Group":"zone","Window":60000}}"#
         )
     };
     let classes =
@@ -209,101 +211,103 @@
     node.reload(&with_ops(&config(discovery.address, &after, 1024)));
     node.wait_for_log("classes are count, submit, read");
     let mut client = node.client();
-    assert_eq!(client.request("GET /count/1", &common_headers(LONG), b"").body, b"fine");
-    assert_eq!(client.request("GET /read/1", &common_headers(LONG), b"").status(), 405);
-    assert_eq!(client.request("POST /read/1", &common_headers(LONG), b"").body, b"fine");
-    assert_eq!(client.request("POST /correct/1", &common_headers(LONG), b"").status(), 404);
+    assert_eq!(client.request("GET /count/1", &common_headers(DEADLINE_MS), b"").body, b"fine");
+    assert_eq!(client.request("GET /read/1", &common_headers(DEADLINE_MS), b"").status(), 405);
+    assert_eq!(client.request("POST /read/1", &common_headers(DEADLINE_MS), b"").body, b"fine");
+    assert_eq!(client.request("POST /correct/1", &common_headers(DEADLINE_MS), b"").status(), 404);
 
-    // What was open: `read` may be sent to the two others too, `correct` to nobody.
-    let served = all();
-    // `correct` ends first: a server that still holds it looks crowded to the attempts of `read`.
-    go_once.send(()).expect("a backend waits");
-    assert!(![200, 429, 503].contains(&once.answer().expect("an answer").status()));
-    (0..3).for_each(|_| go.send(()).expect("a backend waits"));
-    assert_eq!(safe.answer().expect("an answer").status(), 503);
-    assert_eq!(all(), served + 2);
+    // The requests in progress: `read` may be retried at the two other backends, `correct` nowhere.
+    let served = request_total();
+    // `correct` ends first: a server that still has it in flight counts as loaded for the attempts of `read`.
+    release_once.send(()).expect("a backend waits");
+    assert!(![200, 429, 503].contains(&single_shot.answer().expect("an answer").status()));
+    (0..3).for_each(|_| release.send(()).expect("a backend waits"));
+    assert_eq!(idempotent.answer().expect("an answer").status(), 503);
+    assert_eq!(request_total(), served + 2);
 }
 
 #[test]
 fn a_file_that_is_no_good_changes_nothing_and_a_good_one_after_it_is_taken() {
     let backend = Backend::start(|_| ok("fine"));
-    let (node, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
-    let good = with_ops(&config(discovery.address, &settings(LONG, ""), 1024).replace("correct", "amend"));
-    let deadline = format!(r#""GiveUp":{LONG}"#);
-    let moved = Discovery::start();
-    let bad = [
+    let (node, _watch, discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
+    let valid_config =
+        with_ops(&config(discovery.address, &settings(DEADLINE_MS, ""), 1024).replace("correct", "amend"));
+    let deadline = format!(r#""GiveUp":{DEADLINE_MS}"#);
+    let other_discovery = Discovery::start();
+    let invalid_configs = [
         (String::new(), "EOF"),
-        (good[..good.len() / 2].to_owned(), "bad configuration"),
-        (good.replace(r#""AttemptsCap":3,"#, ""), "AttemptsCap is missing"),
-        (good.replace(&deadline, r#""GiveUp":0"#), "not over 0"),
-        // Not even where discovery is.
+        (valid_config[..valid_config.len() / 2].to_owned(), "bad configuration"),
+        (valid_config.replace(r#""AttemptsCap":3,"#, ""), "AttemptsCap is missing"),
+        (valid_config.replace(&deadline, r#""GiveUp":0"#), "not over 0"),
+        // The address of discovery does not change either.
         (
-            good.replace(r#""AttemptsCap":3"#, r#""AttemptsCap":0"#)
-                .replace(&discovery.address.to_string(), &moved.address.to_string()),
+            valid_config
+                .replace(r#""AttemptsCap":3"#, r#""AttemptsCap":0"#)
+                .replace(&discovery.address.to_string(), &other_discovery.address.to_string()),
             "attempts are not over 0",
         ),
     ];
-    for (file, why) in &bad {
+    for (file, why) in &invalid_configs {
         node.reload(file);
         assert!(node.wait_for_log(why).contains("all stays as it was"), "{why}");
         assert_eq!(node.client().request_correct().body, b"fine");
-        assert_eq!(node.client().request("POST /amend/1", &common_headers(LONG), b"").status(), 404);
+        assert_eq!(node.client().request("POST /amend/1", &common_headers(DEADLINE_MS), b"").status(), 404);
     }
-    node.reload(&good.replace(&discovery.address.to_string(), &moved.address.to_string()));
-    assert!(moved.next_call().start_line.contains("index=8 "), "both at once");
-    assert_eq!(node.client().request("POST /amend/1", &common_headers(LONG), b"").body, b"fine");
-    assert_eq!(node.client().request("POST /correct/1", &common_headers(LONG), b"").status(), 404);
+    node.reload(&valid_config.replace(&discovery.address.to_string(), &other_discovery.address.to_string()));
+    assert!(other_discovery.next_call().start_line.contains("index=8 "), "both at once");
+    assert_eq!(node.client().request("POST /amend/1", &common_headers(DEADLINE_MS), b"").body, b"fine");
+    assert_eq!(node.client().request("POST /correct/1", &common_headers(DEADLINE_MS), b"").status(), 404);
 }
 
-// ---- Upgrades -----------------------------------------------------------------------------------
+// ---- Hot restart --------------------------------------------------------------------------------
 
 #[test]
 fn a_process_started_beside_one_that_serves_takes_over_and_no_request_is_lost() {
     let backend = Backend::start(|_| ok("fine"));
-    let (mut old, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (mut old, _watch, discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     let address = old.address;
-    let config = with_ops(&config(discovery.address, &settings(LONG, ""), 1024));
+    let config = with_ops(&config(discovery.address, &settings(DEADLINE_MS, ""), 1024));
     let config = config.replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{address}""#));
 
-    // Clients that come and go all the time, and one that stays while it may.
-    let over = Arc::new(AtomicBool::new(false));
-    let asks = |stays: bool| {
-        let over = over.clone();
+    // Clients that reconnect for each request, and one that keeps its connection until it is told to close.
+    let stopping = Arc::new(AtomicBool::new(false));
+    let client_loop = |keeps_connection: bool| {
+        let stopping = stopping.clone();
         spawn(move || {
             let mut client = None;
-            while !over.load(Ordering::SeqCst) {
+            while !stopping.load(Ordering::SeqCst) {
                 let mut one = client.take().unwrap_or_else(|| Client::connect(address));
                 let answer = one.request_read();
-                // A node that has just started refuses what it would have to send to a crowded backend.
+                // A node that has just started refuses requests while its backends count as overloaded.
                 assert!([200, 503].contains(&answer.status()), "{answer:?}");
-                let goes = answer.headers.get("connection").is_some_and(|value| value == "close");
-                client = Some(one).filter(|_| stays && !goes);
+                let closes = answer.headers.get("connection").is_some_and(|value| value == "close");
+                client = Some(one).filter(|_| keeps_connection && !closes);
             }
         })
     };
-    let clients = [asks(false), asks(true), asks(false)];
+    let clients = [client_loop(false), client_loop(true), client_loop(false)];
 
     let mut new = Node::start_in(&old.tmp, &config, "");
     assert_eq!(new.address, address);
     let mut watch = discovery.next_call();
-    assert_eq!(new.ops_call("GET /status"), 503, "it has no list, and leaves the clients to the other");
+    assert_eq!(new.ops_call("GET /status"), 503, "it has no list, and leaves the clients to its predecessor");
     watch.open();
     watch.send_line(&list(8, true, &[entry("s-0", backend.address, "in_service")]));
-    wait_until(|| new.ops_call("GET /status") == 200, "a yes");
+    wait_until(|| new.ops_call("GET /status") == 200, "status 200");
     old.terminate();
     assert_eq!(old.wait_for_exit().code(), Some(0));
     new.wait_for_log("the process before this one has gone");
-    // And once more: the successor has one too.
+    // Once more: the successor passes its sockets on as well.
     let mut third = Node::start_in(&old.tmp, &config, "");
     let mut watch = discovery.next_call();
     watch.open();
     watch.send_line(&list(8, true, &[entry("s-0", backend.address, "in_service")]));
-    wait_until(|| third.ops_call("GET /status") == 200, "a yes");
+    wait_until(|| third.ops_call("GET /status") == 200, "status 200");
     new.terminate();
     assert_eq!(new.wait_for_exit().code(), Some(0));
     let served = backend.request_count();
     wait_until(|| backend.request_count() > served + 50, "service by the last one");
-    over.store(true, Ordering::SeqCst);
+    stopping.store(true, Ordering::SeqCst);
     for client in clients {
         client.join().expect("every request is answered");
     }
@@ -312,9 +316,9 @@
 }
 
 #[test]
-fn a_leftover_of_a_killed_process_does_not_stop_a_start() {
+fn the_leftover_socket_of_a_killed_process_does_not_prevent_a_start() {
     let discovery = Discovery::start();
-    let config = with_ops(&config(discovery.address, &settings(LONG, ""), 1024));
+    let config = with_ops(&config(discovery.address, &settings(DEADLINE_MS, ""), 1024));
     let first = Node::start(&config, "");
     wait_until(|| first.tmp.join("sillward.sock").exists(), "a place to meet");
     let leftover = first.tmp.with_extension("left");
--- a/tests/races/client_gone.rs
+++ b/tests/races/client_gone.rs
@@ -1,4 +1,4 @@
-//! A client that leaves, against the attempts made for it.
+//! Races between a client's disconnect and the attempts made for it.
 
 use crate::harness::*;
 use std::collections::BTreeSet;
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-const LONG: u64 = 20_000;
+const DEADLINE_MS: u64 = 20_000;
 
 fn rejected() -> Reply {
     Reply::Answer("503 Busy", "X-Rejected: 1\r\n", vec![])
@@ -16,7 +16,7 @@
     message.start_line.contains("/held")
 }
 
-/// Two backends that turn away who asks for `/read/held`, each once it holds a count of them that the gate lets through.
+/// Two backends that reject the requests for `/read/held`, and hold each one until the gate is open.
 struct Gate {
     backends: [Backend; 2],
     held: Arc<AtomicUsize>,
@@ -52,11 +52,11 @@
 
 fn ask_held(node: &Node) -> Client {
     let mut client = node.client();
-    client.send("GET /read/held", &common_headers(LONG), b"");
+    client.send("GET /read/held", &common_headers(DEADLINE_MS), b"");
     client
 }
 
-/// Enough requests that whatever the node would do by itself it has done.
+/// Serves enough other requests that the node has done all pending work.
 fn others_are_served(node: &Node) {
     let mut other = node.client();
     for _ in 0..50 {
@@ -64,14 +64,15 @@
     }
 }
 
-/// Part of another request hides the end from the runtime; the attempt asks the kernel.
+/// Unread bytes of another request hide the client's disconnect from the runtime. No further attempt may be
+/// made: before each one the node asks the kernel.
 #[test]
 fn who_leaves_behind_half_a_request_gets_no_further_attempt() {
     for half in [false, true] {
         let gate = Gate::start();
-        let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &gate.backends.each_ref());
+        let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &gate.backends.each_ref());
         others_are_served(&node);
-        let closed = gate.gate.lock().expect("the gate");
+        let closed_gate = gate.gate.lock().expect("the gate");
         let mut client = ask_held(&node);
         wait_until(|| gate.held() == 1, "the first attempt");
         client.write(b"GET /re");
@@ -81,43 +82,44 @@
         }
         drop(stream);
         let port = client.local_port();
-        let kept = half.then_some(client);
+        let half_closed = half.then_some(client);
         wait_for_closes(&[port], node.address);
-        drop(closed);
+        drop(closed_gate);
         others_are_served(&node);
         assert_eq!(gate.held(), 1, "half {half}");
-        // It is not answered: its end counts as a close.
-        assert!(kept.is_none_or(|mut client| client.read_to_end().is_empty()));
+        // A half-closed client is not answered: a half-close counts as a close.
+        assert!(half_closed.is_none_or(|mut client| client.read_to_end().is_empty()));
     }
 }
 
-/// The node stands still while hundreds leave, and while what they wait for comes.
+/// The node's process is stopped while hundreds of clients disconnect and the answers that would allow a
+/// retry arrive.
 #[test]
 fn a_burst_that_leaves_while_the_node_has_no_turn_gets_no_attempt() {
-    const CROWD: usize = 200;
-    for first in [true, false] {
+    const CLIENTS: usize = 200;
+    for disconnect_first in [true, false] {
         let gate = Gate::start();
-        let (node, _watch, _discovery) = serving_node(&settings(LONG, ""), &gate.backends.each_ref());
+        let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &gate.backends.each_ref());
         others_are_served(&node);
-        let closed = gate.gate.lock().expect("the gate");
-        let crowd: Vec<Client> = (0..CROWD).map(|_| ask_held(&node)).collect();
+        let closed_gate = gate.gate.lock().expect("the gate");
+        let clients: Vec<Client> = (0..CLIENTS).map(|_| ask_held(&node)).collect();
         wait_until(|| gate.held() > 0, "an attempt");
         node.set_stopped(true);
-        let ports: Vec<u16> = crowd.iter().map(Client::local_port).collect();
-        if first {
-            drop(crowd);
-            drop(closed);
+        let ports: Vec<u16> = clients.iter().map(Client::local_port).collect();
+        if disconnect_first {
+            drop(clients);
+            drop(closed_gate);
         } else {
-            drop(closed);
-            drop(crowd);
+            drop(closed_gate);
+            drop(clients);
         }
         wait_for_closes(&ports, node.address);
         node.set_stopped(false);
         others_are_served(&node);
-        // What it had written before it stood still may reach a backend's thread later: a few first attempts, each once.
-        // Of those that wait fewer than a quarter may be sent on.
+        // First attempts that the node wrote before it was stopped may reach a backend later, each once. Of
+        // the requests that wait, fewer than a quarter may be sent on.
         let (held, ids) = (gate.held(), gate.ids.lock().expect("the ids").len());
-        assert_eq!(held, ids, "a further attempt; leaves first: {first}");
-        assert!(held < CROWD / 4, "{held} were sent on; leaves first: {first}");
+        assert_eq!(held, ids, "a further attempt; disconnect first: {disconnect_first}");
+        assert!(held < CLIENTS / 4, "{held} were sent on; disconnect first: {disconnect_first}");
     }
 }
--- a/tests/races/handover.rs
+++ b/tests/races/handover.rs
@@ -1,4 +1,4 @@
-//! Upgrades, restarts and new settings, against requests and calls.
+//! Races of hot restarts, restarts and reloads with requests and operators' calls.
 
 use crate::harness::*;
 use std::io::{Read, Write};
@@ -8,39 +8,40 @@
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 
-const LONG: u64 = 20_000;
+const DEADLINE_MS: u64 = 20_000;
 
-/// The configuration of a process that is to take over from one that listens there.
-fn beside(address: SocketAddr, discovery: &Discovery, settings: &str, sockets: usize) -> String {
+/// The configuration of a successor to the process that listens at this address.
+fn successor_config(address: SocketAddr, discovery: &Discovery, settings: &str, sockets: usize) -> String {
     let config = with_ops(&config(discovery.address, settings, sockets));
     config.replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{address}""#))
 }
 
-/// Gives a process that asks its list, and waits until it says that it can serve.
-fn inform(discovery: &Discovery, backend: &Backend, node: &Node) -> Watch {
+/// Sends the server list to a process that asks for it, and waits until it reports that it can serve.
+fn send_list(discovery: &Discovery, backend: &Backend, node: &Node) -> Watch {
     let line = list(8, true, &[entry("s-0", backend.address, "in_service")]);
-    discovery.send_list_until(&line, || node.ops_call("GET /status") == 200, "a yes")
+    discovery.send_list_until(&line, || node.ops_call("GET /status") == 200, "status 200")
 }
 
-fn fresh(address: SocketAddr, start: &str) -> u16 {
-    Client::connect(address).request(start, &common_headers(LONG), b"").status()
+fn request_on_new(address: SocketAddr, start: &str) -> u16 {
+    Client::connect(address).request(start, &common_headers(DEADLINE_MS), b"").status()
 }
 
-// ---- Upgrades -----------------------------------------------------------------------------------
+// ---- Hot restart --------------------------------------------------------------------------------
 
 #[test]
 fn after_a_new_process_crashed_the_old_one_has_its_whole_share_and_the_next_takes_over_from_it() {
     let backend = Backend::start(|_| ok("fine"));
-    let sockets = 128; // 48 clients, of which two processes have 12 each
-    let (mut old, _watch, discovery) = serving_node_with(&settings(LONG, ""), &[&backend], sockets, "");
+    let sockets = 128; // limit of 48 clients, of which two processes have 12 each
+    let (mut old, _watch, discovery) =
+        serving_node_with(&settings(DEADLINE_MS, ""), &[&backend], sockets, "");
     let address = old.address;
-    let config = beside(address, &discovery, &settings(LONG, ""), sockets);
-    let mut crashes = Node::start_in(&old.tmp, &config, "");
+    let config = successor_config(address, &discovery, &settings(DEADLINE_MS, ""), sockets);
+    let mut crashing = Node::start_in(&old.tmp, &config, "");
     old.wait_for_log("passed the listening socket on");
-    assert_eq!(fresh(address, "GET /read/1"), 200, "one that is not ready leaves the queue to it");
-    drop(discovery.next_call()); // it has asked for its list
-    crashes.signal("-KILL");
-    assert_eq!(crashes.wait_for_exit().signal(), Some(9));
+    assert_eq!(request_on_new(address, "GET /read/1"), 200, "one that is not ready leaves the queue to it");
+    drop(discovery.next_call()); // it has asked for the list
+    crashing.signal("-KILL");
+    assert_eq!(crashing.wait_for_exit().signal(), Some(9));
     old.wait_for_log("the process after this one has gone");
     assert_eq!(old.ops_call("GET /status"), 200);
     let mut clients: Vec<_> = (0..40).map(|_| Client::connect(address)).collect();
@@ -51,11 +52,11 @@
 
     let third = Node::start_in(&old.tmp, &config, "");
     third.wait_for_log("took the listening socket over");
-    let _told = inform(&discovery, &backend, &third);
+    let _list_watch = send_list(&discovery, &backend, &third);
     old.terminate();
     assert_eq!(old.wait_for_exit().code(), Some(0));
     third.wait_for_log("the process before this one has gone");
-    assert_eq!(fresh(address, "GET /read/1"), 200);
+    assert_eq!(request_on_new(address, "GET /read/1"), 200);
     let fourth = Node::start_in(&old.tmp, &config, "");
     fourth.wait_for_log("took the listening socket over");
 }
@@ -64,8 +65,8 @@
 fn a_drain_is_carried_over_whether_it_is_called_for_before_or_while_there_are_two() {
     let backend = Backend::start(|_| ok("fine"));
     for before in [true, false] {
-        let (mut old, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
-        let config = beside(old.address, &discovery, &settings(LONG, ""), 1024);
+        let (mut old, _watch, discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
+        let config = successor_config(old.address, &discovery, &settings(DEADLINE_MS, ""), 1024);
         if before {
             assert_eq!(old.ops_call("POST /standby"), 200);
         }
@@ -75,7 +76,7 @@
             assert_eq!(old.ops_call("POST /standby"), 200);
         }
         new.wait_for_log("Standby, as the process before this one");
-        let _told = inform(&discovery, &backend, &new);
+        let _list_watch = send_list(&discovery, &backend, &new);
         assert!((0..20).all(|_| !new.is_ready()), "whichever of the two answers");
         old.terminate();
         assert_eq!(old.wait_for_exit().code(), Some(0));
@@ -89,31 +90,31 @@
 #[test]
 fn a_new_process_that_is_told_to_stop_before_it_is_ready_leaves_the_queue_to_the_old_one() {
     let backend = Backend::start(|_| ok("fine"));
-    let (old, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
-    let config = beside(old.address, &discovery, &settings(LONG, ""), 1024);
-    let mut gone = Vec::new(); // the place to meet is there for as long as they are
+    let (old, _watch, discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
+    let config = successor_config(old.address, &discovery, &settings(DEADLINE_MS, ""), 1024);
+    let mut exited = Vec::new(); // the directory of the Unix socket exists for as long as they do
     for _ in 0..3 {
         let mut new = Node::start_in(&old.tmp, &config, "");
         new.wait_for_log("took the listening socket over");
         new.terminate();
         new.terminate();
         new.wait_for_log("told to stop");
-        let all = (0..50).all(|_| fresh(old.address, "GET /read/1") == 200);
+        let all = (0..50).all(|_| request_on_new(old.address, "GET /read/1") == 200);
         assert!(all, "it has no list and would refuse");
         assert_eq!(new.ops_call("POST /active"), 409);
         assert_eq!(new.wait_for_exit().code(), Some(0));
-        gone.push(new);
+        exited.push(new);
     }
 }
 
 #[test]
 fn new_settings_told_to_both_processes_of_an_upgrade_hold_in_both_and_after_it() {
     let backend = Backend::start(|_| ok("fine"));
-    let (mut old, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
+    let (mut old, _watch, discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     let address = old.address;
-    let before = beside(address, &discovery, &settings(LONG, ""), 1024);
+    let before = successor_config(address, &discovery, &settings(DEADLINE_MS, ""), 1024);
     let new = Node::start_in(&old.tmp, &before, "");
-    let _told = inform(&discovery, &backend, &new);
+    let _list_watch = send_list(&discovery, &backend, &new);
     let after = before.replace(r#""Name":"read""#, r#""Name":"count""#);
     new.reload(&after);
     old.reload(&after.replace(&address.to_string(), "127.0.0.1:0"));
@@ -121,32 +122,32 @@
         node.wait_for_log("classes are count, submit, correct");
         assert_eq!(node.ops_call("GET /status"), 200);
     }
-    assert!((0..20).all(|_| fresh(address, "GET /count/1") == 200));
-    assert!((0..20).all(|_| fresh(address, "GET /read/1") == 404));
-    // At the yes: the signal for the settings and the one for the end, together.
+    assert!((0..20).all(|_| request_on_new(address, "GET /count/1") == 200));
+    assert!((0..20).all(|_| request_on_new(address, "GET /read/1") == 404));
+    // Once the successor is ready: SIGHUP and SIGTERM together.
     old.signal("-HUP");
     old.terminate();
     new.reload(&before);
     assert_eq!(old.wait_for_exit().code(), Some(0));
     new.wait_for_log("classes are read, submit, correct");
-    assert_eq!(fresh(address, "GET /read/1"), 200);
+    assert_eq!(request_on_new(address, "GET /read/1"), 200);
 }
 
 #[test]
 fn both_processes_of_an_upgrade_told_to_stop_answer_what_they_hold() {
-    let (go, gate) = channel::<()>();
-    let gate = Arc::new(Mutex::new(gate));
+    let (release, release_gate) = channel::<()>();
+    let release_gate = Arc::new(Mutex::new(release_gate));
     let backend = Backend::start(move |_| {
-        let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
+        let _ = release_gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
         ok("held")
     });
     for old_first in [true, false] {
-        let (mut old, _watch, discovery) = serving_node(&settings(LONG, ""), &[&backend]);
-        let config = beside(old.address, &discovery, &settings(LONG, ""), 1024);
+        let (mut old, _watch, discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
+        let config = successor_config(old.address, &discovery, &settings(DEADLINE_MS, ""), 1024);
         let mut new = Node::start_in(&old.tmp, &config, "");
-        let _told = inform(&discovery, &backend, &new);
+        let _list_watch = send_list(&discovery, &backend, &new);
         let held = backend.request_count();
-        // Of a cold start's few places not all may be had: one at a time, each held before the next.
+        // A cold server takes few requests at a time, so they are sent one by one.
         let mut client = Client::connect(old.address);
         client.send_correct();
         wait_until(|| backend.request_count() == held + 1, "a request at the backend");
@@ -154,20 +155,20 @@
         both.iter().for_each(|node| node.terminate());
         both.iter().for_each(|node| drop(node.wait_for_log("told to stop")));
         both.iter().for_each(|node| assert_eq!(node.ops_call("POST /standby"), 200));
-        go.send(()).expect("the backend waits");
+        release.send(()).expect("the backend waits");
         assert_eq!(client.answer().expect("an answer").status(), 200);
         assert_eq!((old.wait_for_exit().code(), new.wait_for_exit().code()), (Some(0), Some(0)));
     }
 }
 
-// ---- Restarts -----------------------------------------------------------------------------------
+// ---- Restart ------------------------------------------------------------------------------------
 
-/// The configuration comes through a pipe: who has opened it waits, and the signal comes just then.
+/// The configuration is read from a named pipe, so that the signal arrives while the read is blocked.
 #[test]
 fn a_signal_that_comes_while_the_configuration_is_read_is_heard() {
     for (signal, says) in [("-HUP", "told to look again"), ("-TERM", "told to stop")] {
         let discovery = Discovery::start();
-        let text = config(discovery.address, &settings(LONG, ""), 1024);
+        let text = config(discovery.address, &settings(DEADLINE_MS, ""), 1024);
         let mut command = command(&text, "");
         let path = command.get_envs().find_map(|(name, value)| value.filter(|_| name == "PROXY_CONFIG"));
         let path = std::path::PathBuf::from(path.expect("its configuration"));
@@ -175,12 +176,12 @@
         std::fs::rename(&path, &whole).expect("a new name");
         assert!(Command::new("mkfifo").arg(&path).status().expect("mkfifo runs").success());
         let mut child = command.env_remove("TMPDIR").spawn().expect("the node starts");
-        // Opens once the node reads. It is to find a file there when it reads again.
+        // The open returns once the node reads. A reload is to find a regular file there.
         let mut pipe = std::fs::OpenOptions::new().write(true).open(&path).expect("a reader");
         std::fs::rename(&whole, &path).expect("its name");
         let id = child.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().expect("kill runs").success());
-        let _ = pipe.write_all(text.as_bytes()); // fails where the signal has ended it
+        let _ = pipe.write_all(text.as_bytes()); // fails if the signal has killed the node
         drop(pipe);
         let mut log = String::new();
         let mut stderr = child.stderr.take().expect("its log");
@@ -197,8 +198,8 @@
     }
 }
 
-/// A known list in place of the empty one.
-fn knowing(config: &str, known: &str) -> String {
+/// The configuration with this known list in place of the empty one.
+fn with_known_list(config: &str, known: &str) -> String {
     config.replace(r#"{"index":7,"snapshot":true,"endpoints":[]}"#, known)
 }
 
@@ -207,17 +208,17 @@
     let backend = Backend::start(|_| ok("fine"));
     let known = list(7, true, &[entry("s-0", backend.address, "in_service"), r#"{"name":1}"#.into()]);
     let refuses = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port"); // it accepts nobody
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a port"); // it never accepts
     let breaks = Discovery::start();
     for address in [refuses, silent.local_addr().expect("its address"), breaks.address] {
-        let config = with_ops(&knowing(&config(address, &settings(LONG, ""), 1024), &known));
+        let config = with_ops(&with_known_list(&config(address, &settings(DEADLINE_MS, ""), 1024), &known));
         let mut node = Node::start(&config, "");
         if address == breaks.address {
             breaks.next_call().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nnonsense\r\n");
         }
-        wait_until(|| node.ops_call("GET /status") == 200, "a yes");
+        wait_until(|| node.ops_call("GET /status") == 200, "status 200");
         assert!(node.is_ready());
-        assert_eq!(fresh(node.address, "GET /read/1"), 200);
+        assert_eq!(request_on_new(node.address, "GET /read/1"), 200);
         node.terminate();
         assert_eq!(node.wait_for_exit().code(), Some(0));
     }
@@ -230,12 +231,13 @@
         ["3", r#"{"endpoints":"none"}"#, r#"{"index":-1,"endpoints":[]}"#, r#"{"endpoints":[7,null]}"#]
     {
         let discovery = Discovery::start();
-        let config = with_ops(&knowing(&config(discovery.address, &settings(LONG, ""), 1024), known));
+        let config =
+            with_ops(&with_known_list(&config(discovery.address, &settings(DEADLINE_MS, ""), 1024), known));
         let mut node = Node::start(&config, "");
         assert_eq!((node.ops_call("GET /status"), node.ops_call("POST /standby")), (503, 200), "{known}");
         assert_eq!(node.ops_call("POST /active"), 200);
-        let _told = inform(&discovery, &backend, &node);
-        assert_eq!(fresh(node.address, "GET /read/1"), 200);
+        let _list_watch = send_list(&discovery, &backend, &node);
+        assert_eq!(request_on_new(node.address, "GET /read/1"), 200);
         node.terminate();
         assert_eq!(node.wait_for_exit().code(), Some(0));
 
@@ -254,13 +256,13 @@
     let backend = Backend::start(|_| ok("fine"));
     let known = list(7, true, &[entry("s-0", backend.address, "in_service")]);
     let refuses = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
-    let config = with_ops(&knowing(&config(refuses, &settings(LONG, ""), 1024), &known));
+    let config = with_ops(&with_known_list(&config(refuses, &settings(DEADLINE_MS, ""), 1024), &known));
     let starts: Vec<_> = (0..30)
         .map(|_| {
             let config = config.clone();
             std::thread::spawn(move || {
                 let node = Node::start(&config, "");
-                wait_until(|| node.ops_call("GET /status") == 200, "a yes");
+                wait_until(|| node.ops_call("GET /status") == 200, "status 200");
                 assert!(node.is_ready());
                 node
             })
@@ -271,9 +273,9 @@
     nodes.iter_mut().for_each(|node| assert_eq!(node.wait_for_exit().code(), Some(0)));
 }
 
-// ---- New settings -------------------------------------------------------------------------------
+// ---- Reload -------------------------------------------------------------------------------------
 
-/// What stands in brackets after this key, and the configuration with something else there.
+/// The configuration with the array after this key replaced.
 fn with_array(config: &str, key: &str, to: &str) -> String {
     let start = config.find(key).expect("the key") + key.len();
     let end = start + config[start..].find(']').expect("its end");
@@ -282,14 +284,14 @@
 
 #[test]
 fn classes_and_tenants_go_by_name_whatever_their_order_before_and_after_new_settings() {
-    let (go, gate) = channel::<()>();
-    let gate = Arc::new(Mutex::new(gate));
-    // Several: one that holds a request looks crowded to the next.
+    let (release, release_gate) = channel::<()>();
+    let release_gate = Arc::new(Mutex::new(release_gate));
+    // Several backends: one with a request in flight counts as loaded for the next.
     let backends = [0, 1, 2, 3].map(|_| {
-        let gate = gate.clone();
+        let release_gate = release_gate.clone();
         Backend::start(move |message| {
             if message.start_line.contains("hold") {
-                let _ = gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
+                let _ = release_gate.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
             }
             ok("fine")
         })
@@ -299,7 +301,7 @@
         (0..).zip(&backends).map(|(i, b)| entry(&format!("s-{i}"), b.address, "in_service")).collect();
     let class = |name: &str, kind: &str| {
         format!(
-            r#"{{"Name":"{name}","Target":{LONG},"GiveUp":{LONG},"Idempotency":"{kind}","Group":"zone","Window":60000}}"#
+            r#"{{"Name":"{name}","Target":{DEADLINE_MS},"GiveUp":{DEADLINE_MS},"Idempotency":"{kind}","Group":"zone","Window":60000}}"#
         )
     };
     let tenant = |name: &str| format!(r#"{{"Name":"{name}","AllowancePerS":1000,"Share":1}}"#);
@@ -308,52 +310,52 @@
     let (acme, zeta) = (tenant("acme"), tenant("zeta"));
     let of = |classes: &[&String], tenants: &[&String], discovery: &Discovery| {
         let join = |all: &[&String]| all.iter().map(|one| one.as_str()).collect::<Vec<_>>().join(",");
-        let config = with_ops(&config(discovery.address, &settings(LONG, ""), 1024));
+        let config = with_ops(&config(discovery.address, &settings(DEADLINE_MS, ""), 1024));
         let config = with_array(&config, r#""Classes":["#, &join(classes));
         with_array(&config, r#""Projects":["#, &join(tenants))
     };
-    let as_ = |name: &str| common_headers(LONG).replace("acme", name);
+    let headers_of = |name: &str| common_headers(DEADLINE_MS).replace("acme", name);
     for first in [0, 1, 2] {
         let discovery = Discovery::start();
         let mut classes = [&read, &submit, &correct];
         classes.rotate_left(first);
         let node = Node::start(&of(&classes, &[&zeta, &acme], &discovery), "");
-        let _told = discovery.send_list_until(&list(8, true, &listed), || node.is_ready(), "readiness");
-        let serves = |calls: &[(&str, &str, u16)]| {
+        let _list_watch = discovery.send_list_until(&list(8, true, &listed), || node.is_ready(), "readiness");
+        let assert_statuses = |calls: &[(&str, &str, u16)]| {
             for (start, name, status) in calls {
-                let keyed = format!("{}Idempotency-Key: 1\r\n", as_(name));
+                let keyed = format!("{}Idempotency-Key: 1\r\n", headers_of(name));
                 assert_eq!(node.client().request(start, &keyed, b"").status(), *status, "{start} of {name}");
             }
         };
         let all = ["GET /read/1", "POST /submit/1", "POST /correct/1"];
-        serves(&all.map(|start| (start, "acme", 200)));
-        serves(&all.map(|start| (start, "zeta", 200)));
-        // One of a class that is dropped and of a tenant that is as well, open all the while.
+        assert_statuses(&all.map(|start| (start, "acme", 200)));
+        assert_statuses(&all.map(|start| (start, "zeta", 200)));
+        // A request that stays in progress while its class and its tenant are removed.
         let held = count();
         let mut open = node.client();
-        open.send("POST /correct/hold", &as_("zeta"), b"sheet");
+        open.send("POST /correct/hold", &headers_of("zeta"), b"sheet");
         wait_until(|| count() == held + 1, "the request at the backend");
         classes.reverse();
-        let kept: Vec<_> = classes.into_iter().filter(|class| **class != correct).collect();
-        // Two signals in a row: whichever of the files the first one finds, the last one holds.
+        let remaining: Vec<_> = classes.into_iter().filter(|class| **class != correct).collect();
+        // Two reloads in a row: whichever file the first one reads, the last file counts.
         node.reload(&of(&[&submit], &[&acme], &discovery));
-        node.reload(&of(&kept, &[&acme], &discovery));
-        let names = if kept[0] == &read { "read, submit" } else { "submit, read" };
+        node.reload(&of(&remaining, &[&acme], &discovery));
+        let names = if remaining[0] == &read { "read, submit" } else { "submit, read" };
         node.wait_for_log(&format!("classes are {names}"));
-        serves(&[
+        assert_statuses(&[
             ("GET /read/1", "acme", 200),
             ("POST /submit/1", "acme", 200),
             ("GET /read/1", "zeta", 403),
         ]);
-        serves(&[("POST /correct/1", "acme", 404)]);
+        assert_statuses(&[("POST /correct/1", "acme", 404)]);
         assert_eq!(node.ops_call("GET /status"), 200);
-        // And back, in the instant in which the process is told to stop: the request still has its answer.
+        // Both are back when the process is terminated: the request is still answered.
         node.reload(&of(&[&correct, &read, &submit], &[&acme, &zeta], &discovery));
         node.wait_for_log("classes are correct, read, submit");
-        serves(&all.map(|start| (start, "zeta", 200)));
+        assert_statuses(&all.map(|start| (start, "zeta", 200)));
         node.signal("-HUP");
         node.terminate();
-        go.send(()).expect("the backend waits");
+        release.send(()).expect("the backend waits");
         assert_eq!(open.answer().expect("an answer").status(), 200);
     }
 }
