--- a/src/bin/sillward/body.rs
+++ b/src/bin/sillward/body.rs
@@ -54,7 +54,7 @@
     IdleSender,
     /// It is longer than [`MAX_BODY_BYTES`].
     TooLong,
-    /// The connection that it came on broke.
+    /// The connection that it is read from broke.
     Disconnected,
 }
 
--- a/src/bin/sillward/client.rs
+++ b/src/bin/sillward/client.rs
@@ -37,7 +37,7 @@
 /// What a connection's timeouts require now.
 pub enum TimeoutAction {
     /// Nothing; check again at this time.
-    CheckAgain(Instant),
+    Recheck(Instant),
     /// It is idle between requests, or its next head is slow: close it gracefully.
     CloseGracefully,
     /// The client took too long to send its first request, or to read a response: close it at once.
@@ -87,7 +87,7 @@
     }
 
     /// How the connection closes now that it is told to; `activity_before` is its last activity when it was
-    /// told. During a shutdown connections are shed only once no further request is taken: half a request
+    /// told. During a shutdown connections are shed only once no further request is accepted: half a request
     /// keeps none open then.
     pub fn close_mode(&self, activity_before: Instant, terminating: bool) -> CloseMode {
         let in_progress = self.idle_since.get().is_none();
@@ -112,7 +112,7 @@
             return if stalled {
                 TimeoutAction::CloseNow
             } else {
-                TimeoutAction::CheckAgain(now + READ_TIMEOUT)
+                TimeoutAction::Recheck(now + READ_TIMEOUT)
             };
         };
         let (since, action) = match (self.had_request.get(), self.next_begun.get()) {
@@ -120,6 +120,6 @@
             (true, Some(next_begun)) => (next_begun, TimeoutAction::CloseGracefully),
             (true, None) => (idle_since, TimeoutAction::CloseGracefully),
         };
-        if now < since + READ_TIMEOUT { TimeoutAction::CheckAgain(since + READ_TIMEOUT) } else { action }
+        if now < since + READ_TIMEOUT { TimeoutAction::Recheck(since + READ_TIMEOUT) } else { action }
     }
 }
--- a/src/bin/sillward/frontend.rs
+++ b/src/bin/sillward/frontend.rs
@@ -350,7 +350,7 @@
                     }
                 }
                 () = sleep_until(next_check) => match client.check_timeout() {
-                    TimeoutAction::CheckAgain(time) => next_check = time,
+                    TimeoutAction::Recheck(time) => next_check = time,
                     TimeoutAction::CloseGracefully
                         if client.last_activity.get().elapsed() < STALL_TIMEOUT =>
                     {
--- a/src/bin/sillward/frontend/tests.rs
+++ b/src/bin/sillward/frontend/tests.rs
@@ -65,32 +65,29 @@
 async fn a_later_head_is_timed_from_its_first_byte() {
     let client = Client::new(Liveness::default());
     let advance = async |ms| tokio::time::advance(Duration::from_millis(ms)).await;
-    let is_waiting = |client: &Client| {
-        matches!(client.check_timeout(),
-        TimeoutAction::CheckAgain(time) if time > Instant::now())
-    };
+    let waits = |c: &Client| matches!(c.check_timeout(), TimeoutAction::Recheck(at) if at > Instant::now());
     // The first head is timed from the connect.
     advance(2000).await;
     client.record_read();
-    assert!(is_waiting(&client));
+    assert!(waits(&client));
     advance(500).await;
     assert!(matches!(client.check_timeout(), TimeoutAction::CloseNow));
     client.had_request.set(true);
     client.next_begun.set(None);
     client.idle_since.set(None);
-    assert!(is_waiting(&client), "a request is in progress");
+    assert!(waits(&client), "a request is in progress");
     client.idle_since.set(Some(Instant::now()));
     advance(2000).await;
     client.record_read();
     advance(2000).await;
-    assert!(is_waiting(&client), "4 s after the response, 2 s after the head's first byte");
+    assert!(waits(&client), "4 s after the response, 2 s after the head's first byte");
     client.record_read();
     advance(500).await;
     assert!(matches!(client.check_timeout(), TimeoutAction::CloseGracefully));
     client.next_begun.set(None);
     client.idle_since.set(Some(Instant::now()));
     advance(2499).await;
-    assert!(is_waiting(&client));
+    assert!(waits(&client));
     advance(1).await;
     assert!(
         matches!(client.check_timeout(), TimeoutAction::CloseGracefully),
@@ -234,9 +231,9 @@
     RequestOnNew,
     /// Has sent half a head or half a body on a new connection, or half a head on a used one, and sends the
     /// rest.
-    FinishHead,
-    FinishBody,
-    FinishLaterHead,
+    EndHead,
+    EndBody,
+    EndLaterHead,
     /// Sends two requests at once on a used connection.
     TwoRequests,
 }
@@ -266,9 +263,7 @@
             });
             let mut connections = Vec::new();
             for at in (0..=850).step_by(25) {
-                for action in
-                    [RequestOnReused, FinishHead, FinishBody, FinishLaterHead, TwoRequests, RequestOnNew]
-                {
+                for action in [RequestOnReused, EndHead, EndBody, EndLaterHead, TwoRequests, RequestOnNew] {
                     connections.push((at, action, TcpStream::connect(address).await.expect("a peer")));
                     frontend.serve(listener.accept().await.expect("the peer").0);
                 }
@@ -276,15 +271,13 @@
             for (at, action, peer) in &mut connections {
                 let id = format!("{action:?}-{at}");
                 let half = request(&id);
-                if matches!(action, RequestOnReused | FinishLaterHead | TwoRequests) {
+                if matches!(action, RequestOnReused | EndLaterHead | TwoRequests) {
                     peer.write_all(request("first").as_bytes()).await.expect("written");
                     read_response(peer).await;
                 }
                 match action {
-                    FinishHead | FinishLaterHead => {
-                        peer.write_all(&half.as_bytes()[..30]).await.expect("written")
-                    }
-                    FinishBody => peer.write_all(&half.as_bytes()[..half.len() - 2]).await.expect("written"),
+                    EndHead | EndLaterHead => peer.write_all(&half.as_bytes()[..30]).await.expect("written"),
+                    EndBody => peer.write_all(&half.as_bytes()[..half.len() - 2]).await.expect("written"),
                     _ => {}
                 }
             }
@@ -301,8 +294,8 @@
                         let whole = request(&id);
                         let sends = match action {
                             RequestOnReused | RequestOnNew => whole,
-                            FinishHead | FinishLaterHead => whole[30..].to_owned(),
-                            FinishBody => whole[whole.len() - 2..].to_owned(),
+                            EndHead | EndLaterHead => whole[30..].to_owned(),
+                            EndBody => whole[whole.len() - 2..].to_owned(),
                             TwoRequests => format!("{whole}{}", request(&format!("{id}-second"))),
                         };
                         if action == RequestOnNew {
@@ -334,11 +327,11 @@
                 let all = parse_responses(&read).expect("only complete responses");
                 let accepted = ids.borrow().contains(&id);
                 let expected = if accepted { vec![(200, true, id.clone())] } else { Vec::new() };
-                let refused = !accepted && matches!(all[..], [(503 | 408, true, _)]) && action == FinishBody;
+                let refused = !accepted && matches!(all[..], [(503 | 408, true, _)]) && action == EndBody;
                 assert!(all == expected || refused, "{context}");
                 assert!(!ids.borrow().contains(&format!("{id}-second")), "{context}");
                 assert!(ended_at <= terminated_at + KILL_AFTER, "{context}");
-                assert!(accepted || at > 425 || action == FinishLaterHead, "{context}");
+                assert!(accepted || at > 425 || action == EndLaterHead, "{context}");
             }
         });
     }
--- a/src/bin/sillward/handover.rs
+++ b/src/bin/sillward/handover.rs
@@ -223,8 +223,8 @@
 }
 
 /// Passes the listening socket and the Unix socket itself to any process that starts beside this one. This
-/// process keeps both: if the successor fails, the next one still finds this one. While a predecessor runs,
-/// only that one answers, so that there are never more than two processes.
+/// process keeps both: if the successor fails, the next one still finds this one. Of two running processes
+/// the predecessor answers the next start, as it knows of both, and only once its successor has exited.
 pub async fn offer_sockets(
     path: PathBuf,
     listener: OwnedFd,
@@ -234,7 +234,9 @@
 ) {
     let handover_listener = match handover_listener.map_or_else(|| bind_unix_socket(&path), Ok) {
         Ok(handover_listener) => handover_listener,
-        Err(e) => return log(format_args!("no upgrade can take over from here: {}: {e}", path.display())),
+        Err(e) => {
+            return log(format_args!("no process can take over from this one: {}: {e}", path.display()));
+        }
     };
     let mut changes = hot_restart.changes();
     loop {
@@ -264,7 +266,7 @@
                 log("the process after this one has gone");
             }
             Ok(Err(e)) => log(format_args!("the listening socket could not be passed on: {e}")),
-            Err(_) => log("the listening socket could not be passed on: nobody took it"),
+            Err(_) => log("the listening socket could not be passed on: timed out"),
         }
     }
 }
--- a/src/bin/sillward/handover/tests.rs
+++ b/src/bin/sillward/handover/tests.rs
@@ -246,15 +246,15 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("its address");
         let run_task = spawn_local(frontend.run(listener));
-        let (mut clients, mut held) = (Vec::new(), Vec::new());
+        let (mut clients, mut replies) = (Vec::new(), Vec::new());
         for _ in 0..CLIENTS {
             let mut client = tokio::net::TcpStream::connect(address).await.expect("a client");
             let head = "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Call-Id: 1\r\nX-Budget-Ms: 60000\r\n\r\n";
             client.write_all(head.as_bytes()).await.expect("written");
             clients.push(client);
             while let Some(message) = inbox.recv().await {
-                if let crate::messages::Message::Request(taken) = message {
-                    held.push(taken.reply);
+                if let crate::messages::Message::Request(request) = message {
+                    replies.push(request.reply);
                     break;
                 }
             }
@@ -265,7 +265,7 @@
         let half = hot_restart.share_of_limit(max_clients);
         assert!(half < CLIENTS && CLIENTS <= max_clients, "{half} of {max_clients}");
         let mut kept_open = 0;
-        for (client, reply) in clients.iter_mut().zip(held) {
+        for (client, reply) in clients.iter_mut().zip(replies) {
             assert!(reply.send(crate::messages::Answer::Failed).is_ok(), "the client waits");
             let mut answer = Vec::new();
             while !answer.ends_with(b"\r\n\r\n") {
--- a/src/bin/sillward/lifecycle.rs
+++ b/src/bin/sillward/lifecycle.rs
@@ -14,8 +14,9 @@
 /// closed.
 pub const FINAL_REQUEST_GRACE: Duration = Duration::from_millis(100);
 
-/// How long after the start of a shutdown a request may become complete and still be taken. The process may
-/// be killed 0.7 s plus the longest deadline after SIGTERM, so a later request could not be answered in time.
+/// How long after the start of a shutdown a request may become complete and still be accepted. The process
+/// may be killed 0.7 s plus the longest deadline after SIGTERM, so a later request could not be answered in
+/// time.
 pub const BODY_DEADLINE: Duration = Duration::from_millis(650);
 
 /// A lifecycle state, and when it was entered.
@@ -60,7 +61,7 @@
         self.state.subscribe()
     }
 
-    /// Returns once no further request may be taken; never, unless the node shuts down.
+    /// Returns once no further request may be accepted; never, unless the node shuts down.
     pub async fn body_deadline(&self) {
         let mut phase = self.watch();
         let terminating =
--- a/tests/operations/mod.rs
+++ b/tests/operations/mod.rs
@@ -104,7 +104,7 @@
     // A client that waits for a response gets it, and its connection is closed; so are idle connections.
     assert!(idle.is_closed() && fresh.is_closed());
     release.send(()).expect("the backend waits");
-    let answer = held.answer().expect("what was taken is answered");
+    let answer = held.answer().expect("an accepted request is answered");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(held.is_closed());
     for _ in 0..2 {
@@ -320,7 +320,7 @@
     let discovery = Discovery::start();
     let config = with_ops(&config(discovery.address, &settings(DEADLINE_MS, ""), 1024));
     let first = Node::start(&config, "");
-    wait_until(|| first.tmp.join("sillward.sock").exists(), "a place to meet");
+    wait_until(|| first.tmp.join("sillward.sock").exists(), "the Unix socket");
     let leftover = first.tmp.with_extension("left");
     std::fs::rename(&first.tmp, &leftover).expect("a new name");
     drop(first);
--- a/tests/races/client_gone.rs
+++ b/tests/races/client_gone.rs
@@ -17,19 +17,19 @@
 }
 
 /// Two backends that reject the requests for `/read/held`, and hold each one until the gate is open.
-struct Gate {
+struct GatedBackends {
     backends: [Backend; 2],
-    held: Arc<AtomicUsize>,
+    held_requests: Arc<AtomicUsize>,
     ids: Arc<Mutex<BTreeSet<String>>>,
     gate: Arc<Mutex<()>>,
 }
 
-impl Gate {
+impl GatedBackends {
     fn start() -> Self {
-        let (held, gate) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(())));
+        let (held_requests, gate) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(())));
         let ids = Arc::<Mutex<BTreeSet<String>>>::default();
         let backends = [0, 1].map(|_| {
-            let (held, gate, ids) = (held.clone(), gate.clone(), ids.clone());
+            let (held_requests, gate, ids) = (held_requests.clone(), gate.clone(), ids.clone());
             Backend::start(move |message| {
                 if !is_held(message) {
                     return ok("");
@@ -37,16 +37,16 @@
                 ids.lock()
                     .expect("the ids")
                     .insert(message.header("x-call-id").unwrap_or_default().to_owned());
-                held.fetch_add(1, Ordering::SeqCst);
+                held_requests.fetch_add(1, Ordering::SeqCst);
                 drop(gate.lock().expect("the gate"));
                 rejected()
             })
         });
-        Gate { backends, held, ids, gate }
+        GatedBackends { backends, held_requests, ids, gate }
     }
 
-    fn held(&self) -> usize {
-        self.held.load(Ordering::SeqCst)
+    fn held_requests(&self) -> usize {
+        self.held_requests.load(Ordering::SeqCst)
     }
 }
 
@@ -68,25 +68,25 @@
 /// made: before each one the node asks the kernel.
 #[test]
 fn who_leaves_behind_half_a_request_gets_no_further_attempt() {
-    for half in [false, true] {
-        let gate = Gate::start();
-        let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &gate.backends.each_ref());
+    for half_close in [false, true] {
+        let gated = GatedBackends::start();
+        let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &gated.backends.each_ref());
         others_are_served(&node);
-        let closed_gate = gate.gate.lock().expect("the gate");
+        let closed_gate = gated.gate.lock().expect("the gate");
         let mut client = ask_held(&node);
-        wait_until(|| gate.held() == 1, "the first attempt");
+        wait_until(|| gated.held_requests() == 1, "the first attempt");
         client.write(b"GET /re");
         let stream = client.write_handle();
-        if half {
+        if half_close {
             stream.shutdown(Shutdown::Write).expect("it is open");
         }
         drop(stream);
         let port = client.local_port();
-        let half_closed = half.then_some(client);
+        let half_closed = half_close.then_some(client);
         wait_for_closes(&[port], node.address);
         drop(closed_gate);
         others_are_served(&node);
-        assert_eq!(gate.held(), 1, "half {half}");
+        assert_eq!(gated.held_requests(), 1, "half-close: {half_close}");
         // A half-closed client is not answered: a half-close counts as a close.
         assert!(half_closed.is_none_or(|mut client| client.read_to_end().is_empty()));
     }
@@ -98,12 +98,12 @@
 fn a_burst_that_leaves_while_the_node_has_no_turn_gets_no_attempt() {
     const CLIENTS: usize = 200;
     for disconnect_first in [true, false] {
-        let gate = Gate::start();
-        let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &gate.backends.each_ref());
+        let gated = GatedBackends::start();
+        let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &gated.backends.each_ref());
         others_are_served(&node);
-        let closed_gate = gate.gate.lock().expect("the gate");
+        let closed_gate = gated.gate.lock().expect("the gate");
         let clients: Vec<Client> = (0..CLIENTS).map(|_| ask_held(&node)).collect();
-        wait_until(|| gate.held() > 0, "an attempt");
+        wait_until(|| gated.held_requests() > 0, "an attempt");
         node.set_stopped(true);
         let ports: Vec<u16> = clients.iter().map(Client::local_port).collect();
         if disconnect_first {
@@ -118,8 +118,11 @@
         others_are_served(&node);
         // First attempts that the node wrote before it was stopped may reach a backend later, each once. Of
         // the requests that wait, fewer than a quarter may be sent on.
-        let (held, ids) = (gate.held(), gate.ids.lock().expect("the ids").len());
-        assert_eq!(held, ids, "a further attempt; disconnect first: {disconnect_first}");
-        assert!(held < CLIENTS / 4, "{held} were sent on; disconnect first: {disconnect_first}");
+        let (held_requests, ids) = (gated.held_requests(), gated.ids.lock().expect("the ids").len());
+        assert_eq!(held_requests, ids, "a further attempt; disconnect first: {disconnect_first}");
+        assert!(
+            held_requests < CLIENTS / 4,
+            "{held_requests} were sent on; disconnect first: {disconnect_first}"
+        );
     }
 }
--- a/tests/races/floods.rs
+++ b/tests/races/floods.rs
@@ -9,7 +9,7 @@
 
 /// Socket limit of the node. It leaves 125 connections for clients, about a third of the largest flood at a
 /// time; the rest of it waits to be accepted.
-const SOCKETS: usize = 256;
+const SOCKET_LIMIT: usize = 256;
 /// Length of a response that does not fit into the kernel's buffers.
 const LONG_RESPONSE_BYTES: usize = 8 << 20;
 
@@ -83,20 +83,20 @@
 
 /// Requests a long response and reads nothing of it until the node closes the connection.
 fn never_read(stream: &mut TcpStream) -> bool {
-    let asks = format!("GET /read/long HTTP/1.1\r\nHost: a\r\n{}\r\n", common_headers(20_000));
+    let request_text = format!("GET /read/long HTTP/1.1\r\nHost: a\r\n{}\r\n", common_headers(20_000));
     {
         // One after the other until the response begins: a new node sends no two requests at once to one
         // backend.
-        static ASKS: Mutex<()> = Mutex::new(());
-        let _turn = ASKS.lock().expect("the turn");
-        let _ = stream.write_all(asks.as_bytes());
+        static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+        let _turn = ONE_AT_A_TIME.lock().expect("the turn");
+        let _ = stream.write_all(request_text.as_bytes());
         stream.peek(&mut [0]).expect("an answer begins");
     }
-    let ended = || {
+    let is_closed = || {
         // A write after the node's close fails with a reset.
         stream.write_all(b"x").is_err()
     };
-    wait_until(ended, "the node to end a connection that takes nothing");
+    wait_until(is_closed, "the node to close a connection that reads nothing");
     true
 }
 
@@ -115,8 +115,12 @@
     // Regular clients send as fast as they are answered: the tenant's rate limit must allow that.
     let high_rate_limit =
         settings(20_000, "").replace(r#""AllowancePerS":1000,"#, r#""AllowancePerS":1000000,"#);
-    let (node, _watch, _discovery) =
-        serving_node_with(&high_rate_limit, &backends.each_ref(), SOCKETS, &format!("ulimit -n {SOCKETS}; "));
+    let (node, _watch, _discovery) = serving_node_with(
+        &high_rate_limit,
+        &backends.each_ref(),
+        SOCKET_LIMIT,
+        &format!("ulimit -n {SOCKET_LIMIT}; "),
+    );
     assert_eq!(node.client().request_read().body, b"good");
     let before = node.open_descriptors();
     let flood_ended = AtomicBool::new(false);
@@ -142,8 +146,13 @@
                 let sent = client.try_send("POST /correct/1f", &common_headers(20_000));
                 match client.try_answer().expect("a whole answer or none") {
                     Some(answer) if sent => {
-                        let told = (answer.status(), answer.body.as_slice());
-                        assert_eq!(told, (200, &b"good"[..]), "{name}: after {served}, {:?}", answer.headers);
+                        let outcome = (answer.status(), answer.body.as_slice());
+                        assert_eq!(
+                            outcome,
+                            (200, &b"good"[..]),
+                            "{name}: after {served}, {:?}",
+                            answer.headers
+                        );
                         served += 1;
                     }
                     _ => retried += 1, // the node closed it to free a slot before its request arrived
@@ -151,8 +160,11 @@
             }
             (served, retried)
         });
-        longest =
-            flooders.into_iter().map(|one| one.join().expect("a flooding client")).max().unwrap_or_default();
+        longest = flooders
+            .into_iter()
+            .map(|flooder| flooder.join().expect("a flooding client"))
+            .max()
+            .unwrap_or_default();
         flood_ended.store(true, Ordering::SeqCst);
         (served, retried) = regular.join().expect("regular clients");
     });
