--- a/src/bin/sillward/handover.rs
+++ b/src/bin/sillward/handover.rs
@@ -234,9 +234,7 @@
 ) {
     let handover_listener = match handover_listener.map_or_else(|| bind_unix_socket(&path), Ok) {
         Ok(handover_listener) => handover_listener,
-        Err(e) => {
-            return log(format_args!("no process can take over from this one: {}: {e}", path.display()));
-        }
+        Err(e) => return log(format_args!("no successor can take over: {}: {e}", path.display())),
     };
     let mut changes = hot_restart.changes();
     loop {
--- a/tests/races/handover.rs
+++ b/tests/races/handover.rs
@@ -321,15 +321,15 @@
         classes.rotate_left(first);
         let node = Node::start(&of(&classes, &[&zeta, &acme], &discovery), "");
         let _list_watch = discovery.send_list_until(&list(8, true, &listed), || node.is_ready(), "readiness");
-        let assert_statuses = |calls: &[(&str, &str, u16)]| {
+        let check_statuses = |calls: &[(&str, &str, u16)]| {
             for (start, name, status) in calls {
                 let keyed = format!("{}Idempotency-Key: 1\r\n", headers_of(name));
                 assert_eq!(node.client().request(start, &keyed, b"").status(), *status, "{start} of {name}");
             }
         };
         let all = ["GET /read/1", "POST /submit/1", "POST /correct/1"];
-        assert_statuses(&all.map(|start| (start, "acme", 200)));
-        assert_statuses(&all.map(|start| (start, "zeta", 200)));
+        check_statuses(&all.map(|start| (start, "acme", 200)));
+        check_statuses(&all.map(|start| (start, "zeta", 200)));
         // A request that stays in progress while its class and its tenant are removed.
         let held = count();
         let mut open = node.client();
@@ -342,17 +342,17 @@
         node.reload(&of(&remaining, &[&acme], &discovery));
         let names = if remaining[0] == &read { "read, submit" } else { "submit, read" };
         node.wait_for_log(&format!("classes are {names}"));
-        assert_statuses(&[
+        check_statuses(&[
             ("GET /read/1", "acme", 200),
             ("POST /submit/1", "acme", 200),
             ("GET /read/1", "zeta", 403),
         ]);
-        assert_statuses(&[("POST /correct/1", "acme", 404)]);
+        check_statuses(&[("POST /correct/1", "acme", 404)]);
         assert_eq!(node.ops_call("GET /status"), 200);
         // Both are back when the process is terminated: the request is still answered.
         node.reload(&of(&[&correct, &read, &submit], &[&acme, &zeta], &discovery));
         node.wait_for_log("classes are correct, read, submit");
-        assert_statuses(&all.map(|start| (start, "zeta", 200)));
+        check_statuses(&all.map(|start| (start, "zeta", 200)));
         node.signal("-HUP");
         node.terminate();
         release.send(()).expect("the backend waits");
