--- a/crates/lab/src/capacity/roles/control.rs
+++ b/crates/lab/src/capacity/roles/control.rs
@@ -240,7 +240,7 @@
 pub const ROLES: &[Role] = &[
     Role {
         name: "a node in all",
-        mechanism: "`src/control/`, `src/state.rs`, `src/control/roster/`",
+        mechanism: "`src/control/`, `src/state.rs`, `src/control/server_table/`",
         lines: WHOLE,
     },
     Role {
@@ -250,12 +250,12 @@
     },
     Role {
         name: "server table",
-        mechanism: "`src/policy/subset.rs`, `src/control/roster/`, `src/state.rs`",
+        mechanism: "`src/policy/subset.rs`, `src/control/server_table/`, `src/state.rs`",
         lines: SERVER_TABLE,
     },
     Role {
         name: "selection state",
-        mechanism: "`src/policy/pick.rs` compares 64 at most; `src/state.rs` holds the ring of those held",
+        mechanism: "`src/policy/selection.rs` compares 64 at most; `src/state.rs` holds the ring of those held",
         lines: SELECTION,
     },
     Role {
@@ -265,7 +265,7 @@
     },
     Role {
         name: "tenants and limits",
-        mechanism: "`src/policy/limits.rs`, all tenants in even parts; made on use, given to the nodes that see them: none yet",
+        mechanism: "`src/policy/request_value.rs`, all tenants in even parts; made on use, given to the nodes that see them: none yet",
         lines: TENANTS,
     },
     Role {
--- a/crates/lab/src/capacity/roles/others.rs
+++ b/crates/lab/src/capacity/roles/others.rs
@@ -86,7 +86,7 @@
     Role { name: "agent", mechanism: "the site's own", lines: AGENT },
     Role {
         name: "a server as it sees the nodes",
-        mechanism: "`src/bin/sillward/backend.rs`; `enough` in `src/policy/pick.rs` bounds the servers of a node",
+        mechanism: "`src/bin/sillward/backend.rs`; `candidate_limit` in `src/policy/selection.rs` bounds the servers of a node",
         lines: SERVER,
     },
 ];
--- a/crates/lab/src/capacity/roles/serving.rs
+++ b/crates/lab/src/capacity/roles/serving.rs
@@ -87,14 +87,14 @@
     },
     Role {
         name: "probing",
-        mechanism: "`src/policy/pick.rs`, `src/bin/sillward/backend.rs`; paid for by requests",
+        mechanism: "`src/policy/selection.rs`, `src/bin/sillward/backend.rs`; paid for by requests",
         lines: PROBING,
     },
     Role {
         name: "retries and copies",
-        mechanism: "`src/policy/retry.rs`, `src/policy/send.rs`; one budget a node",
+        mechanism: "`src/policy/retry.rs`, `src/policy/dispatch.rs`; one budget a node",
         lines: RETRIES,
     },
-    Role { name: "cold ramp", mechanism: "`src/policy/cold.rs`", lines: COLD },
+    Role { name: "cold ramp", mechanism: "`src/policy/slow_start.rs`", lines: COLD },
     Role { name: "zones", mechanism: "`src/policy/zones.rs`, off in `run`", lines: ZONES },
 ];
