--- a/src/bin/sillward/backend/tests.rs
+++ b/src/bin/sillward/backend/tests.rs
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn what_was_overtaken_while_it_waited_for_a_connection_is_never_sent() {
+fn an_attempt_that_is_no_longer_permitted_is_not_sent() {
     let nothing = || (Outcome::NotSent, String::new());
     let late = attempt_after(|_, attempt, _, now| attempt.deadline = now);
     assert_eq!(late, nothing(), "its deadline has passed");
@@ -294,7 +294,7 @@
 /// Bytes or a close that the kernel holds and the runtime has not polled yet are found before a request is
 /// written. Without that check the request would get the unsolicited response, or end as a reset.
 #[test]
-fn what_has_come_unnoticed_costs_no_request() {
+fn unread_bytes_or_a_close_in_the_kernel_fail_no_request() {
     for closed in [false, true] {
         with_pool(async |pool, listener, _| {
             tokio::time::pause();
@@ -405,7 +405,7 @@
 /// Bytes that a backend sends on a new connection before its first request would be read as the response to
 /// that request.
 #[test]
-fn what_has_come_unnoticed_on_a_new_connection_is_not_its_first_answer() {
+fn unread_bytes_on_a_new_connection_are_not_taken_for_its_first_response() {
     with_pool(async |pool, listener, _| {
         tokio::time::pause();
         let (opened, (stream, _)) =
@@ -428,7 +428,7 @@
 }
 
 #[test]
-fn an_attempt_is_for_the_run_of_its_backend_that_it_was_decided_on() {
+fn an_attempt_is_sent_only_to_the_generation_it_was_decided_for() {
     // The restart is listed before the decision: the attempt goes to the new generation.
     with_pool(async |pool, listener, backend| {
         let connections = spawn_backend(listener, Duration::ZERO, None);
@@ -501,7 +501,7 @@
 /// A short response may arrive while the request's body is still being sent. The connection can be reused
 /// only if the whole request has been written.
 #[test]
-fn a_connection_on_which_half_a_request_was_written_carries_no_other() {
+fn a_connection_with_a_partly_written_request_is_not_reused() {
     const LENGTH: usize = 2 * MAX_BUFFERED_BYTES;
     for sent in [100, LENGTH] {
         let whole = sent == LENGTH;
--- a/src/bin/sillward/frontend/disconnects.rs
+++ b/src/bin/sillward/frontend/disconnects.rs
@@ -169,7 +169,7 @@
 /// A backend's answer that allows a retry and the client's disconnect fall in one turn, in both orders.
 /// Whether the node has learned of the disconnect or not, it must make no further attempt.
 #[test]
-fn a_client_that_leaves_between_two_attempts_gets_no_further_one() {
+fn a_disconnect_between_two_attempts_prevents_the_second() {
     for kind in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
         for (delay, disconnect_first) in [NoticeDelay::None, NoticeDelay::Queued, NoticeDelay::Hidden]
             .into_iter()
@@ -211,7 +211,7 @@
 
 /// A complete request and its client's disconnect have both arrived before the node's first turn.
 #[test]
-fn a_client_that_has_left_before_the_first_attempt_gets_none() {
+fn a_disconnect_before_the_first_attempt_prevents_it() {
     let long = format!(
         "POST /submit/1 HTTP/1.1\r\nHost: a\r\nX-Call-Id: held\r\nX-Budget-Ms: 20000\r\nIdempotency-Key: 1\r\n\
         Content-Length: 100000\r\n\r\n{}",
@@ -245,7 +245,7 @@
 
 /// Hundreds of clients disconnect while the node has no turn, just when a retry of each request is allowed.
 #[test]
-fn a_burst_of_clients_that_leave_between_two_attempts_gets_none() {
+fn a_burst_of_disconnects_between_two_attempts_prevents_the_second() {
     const CLIENTS: usize = 300;
     for delay in [NoticeDelay::None, NoticeDelay::Hidden] {
         with_rig(async |rig| {
--- a/src/bin/sillward/frontend/tests.rs
+++ b/src/bin/sillward/frontend/tests.rs
@@ -186,7 +186,7 @@
 /// close, at the end of a grace period or to free a slot. It must be answered, whether it is the connection's
 /// first or not.
 #[test]
-fn a_request_that_has_come_unnoticed_is_answered() {
+fn a_request_that_is_unread_when_its_connection_is_told_to_close_is_answered() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     for (reused, shed) in [(true, false), (true, true), (false, false), (false, true)] {
         LocalSet::new().block_on(&runtime, async {
@@ -242,7 +242,7 @@
 /// time, others get no byte of an answer or a 408 or 503 that refuses a half-sent body; what arrives while
 /// new connections still arrive is accepted; and the process exits before SIGKILL.
 #[test]
-fn after_sigterm_nothing_is_lost_whenever_it_comes() {
+fn requests_accepted_after_sigterm_are_answered_whenever_they_arrive() {
     use ClientAction::*;
     const KILL_AFTER: Duration = Duration::from_millis(3700);
     let config = CONFIG.replace(r#""Target": 1, "GiveUp": 1"#, r#""Target": 3000, "GiveUp": 3000"#);
--- a/src/bin/sillward/handover/tests.rs
+++ b/src/bin/sillward/handover/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_socket_is_passed_on_with_its_queue_and_both_share_until_one_goes() {
+fn a_passed_socket_keeps_its_queue_and_both_processes_share_limits_until_one_ends() {
     with_socket_path("pass", async |path| {
         let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = first.local_addr().expect("its address");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn each_process_hears_how_the_other_one_stands_and_a_drain_goes_on_in_the_new_one() {
+fn each_process_learns_the_state_of_the_other_and_the_successor_stays_drained() {
     with_socket_path("stand", async |path| {
         let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = first.local_addr().expect("its address");
@@ -138,7 +138,7 @@
 /// One process terminates while its sibling serves, and the sibling terminates or exits before that or after
 /// it. What is in the accept queue must be answered by the process that stops accepting last.
 #[test]
-fn what_is_in_the_queue_is_taken_by_one_of_two_processes_whichever_ends_first() {
+fn connections_in_the_accept_queue_are_served_whichever_process_ends_first() {
     const CONFIG: &str = r#"{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings":
         {"Classes": [{"Name": "submit", "Target": 1, "GiveUp": 1, "Idempotency": "single_shot"}]}}"#;
     let serving = Some(ProcessStatus { state: ProcessState::Active, accepting: true });
@@ -220,7 +220,7 @@
 /// Connections with a request in progress can't be shed when a second process starts: those beyond this
 /// process's half close with their responses.
 #[test]
-fn clients_beyond_the_half_leave_with_their_answers_if_all_were_busy_as_the_other_process_came() {
+fn busy_connections_beyond_this_process_half_close_with_their_responses() {
     const CLIENTS: usize = 20;
     const CONFIG: &str = r#"{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "limits": {"sockets": 90},
         "settings": {"Classes": [{"Name": "read", "Target": 60000, "GiveUp": 60000, "Idempotency": "free"}]}}"#;
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn connections_to_backends_come_down_to_the_half_as_the_other_process_comes() {
+fn idle_backend_connections_beyond_half_are_closed_when_a_hot_restart_begins() {
     const CONFIG: &str = r#"{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "limits": {"sockets": 78},
         "settings": {"Classes": [{"Name": "read", "Target": 1, "GiveUp": 1, "Idempotency": "free"}],
         "Permissions": {"IdleClose": 3600000}}}"#;
--- a/src/bin/sillward/liveness/tests.rs
+++ b/src/bin/sillward/liveness/tests.rs
@@ -81,7 +81,7 @@
 
 /// `TCP_NODELAY` is set on every socket of the node: those that it opens, and those that it accepts.
 #[tokio::test(flavor = "current_thread")]
-async fn no_small_write_is_held_back() {
+async fn tcp_nodelay_is_set_on_opened_and_accepted_sockets() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let opened =
         hillpick::control::tcp::connect(listener.local_addr().expect("its address")).await.expect("a client");
--- a/src/bin/sillward/node/tests.rs
+++ b/src/bin/sillward/node/tests.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn an_answer_whose_start_is_on_its_way_when_its_time_ends_is_passed_on_whole() {
+fn a_response_that_starts_as_its_attempt_times_out_is_forwarded_completely() {
     for started_first in [false, true] {
         with_inbox(CONFIG, async |mut node, mut inbox| {
             let listeners = list_backends(&mut node, 1).await;
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn an_attempt_whose_time_ends_before_its_answer_starts_is_stopped() {
+fn an_attempt_that_times_out_before_its_response_starts_is_stopped() {
     with_inbox(CONFIG, async |mut node, mut inbox| {
         let listeners = list_backends(&mut node, 1).await;
         let _answer = request(&mut node, 1);
@@ -234,7 +234,7 @@
 /// The other events that stop an attempt: the client disconnects, its deadline passes, or the shutdown gives
 /// up request bodies that are incomplete.
 #[test]
-fn an_answer_that_starts_as_its_request_ends_costs_nothing_more() {
+fn a_response_that_starts_as_its_request_ends_leaves_nothing_behind() {
     for way in ["client gone", "deadline", "body deadline"] {
         for started_first in [false, true] {
             with_inbox(CONFIG, async |mut node, mut inbox| {
--- a/tests/operations/mod.rs
+++ b/tests/operations/mod.rs
@@ -174,7 +174,7 @@
 // ---- Reload -------------------------------------------------------------------------------------
 
 #[test]
-fn new_settings_hold_for_new_requests_and_old_ones_for_open_ones() {
+fn a_reload_applies_to_new_requests_and_not_to_those_in_progress() {
     let ((release, release_gate), (release_once, release_gate_once)) = (channel::<()>(), channel::<()>());
     let release_gates = [("/read/hold", release_gate), ("/correct/hold", release_gate_once)];
     let release_gates = Arc::new(release_gates.map(|(path, release_gate)| (path, Mutex::new(release_gate))));
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_good_changes_nothing_and_a_good_one_after_it_is_taken() {
+fn an_invalid_configuration_changes_nothing_and_a_later_valid_one_is_applied() {
     let backend = Backend::start(|_| ok("fine"));
     let (node, _watch, discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     let valid_config =
@@ -262,7 +262,7 @@
 // ---- Hot restart --------------------------------------------------------------------------------
 
 #[test]
-fn a_process_started_beside_one_that_serves_takes_over_and_no_request_is_lost() {
+fn a_hot_restart_loses_no_request() {
     let backend = Backend::start(|_| ok("fine"));
     let (mut old, _watch, discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     let address = old.address;
--- a/tests/races/client_gone.rs
+++ b/tests/races/client_gone.rs
@@ -67,7 +67,7 @@
 /// Unread bytes of another request hide the client's disconnect from the runtime. No further attempt may be
 /// made: before each one the node asks the kernel.
 #[test]
-fn who_leaves_behind_half_a_request_gets_no_further_attempt() {
+fn a_disconnect_hidden_by_unread_bytes_prevents_a_further_attempt() {
     for half_close in [false, true] {
         let gated = GatedBackends::start();
         let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &gated.backends.each_ref());
@@ -95,7 +95,7 @@
 /// The node's process is stopped while hundreds of clients disconnect and the answers that would allow a
 /// retry arrive.
 #[test]
-fn a_burst_that_leaves_while_the_node_has_no_turn_gets_no_attempt() {
+fn a_burst_of_disconnects_while_the_node_is_stopped_prevents_further_attempts() {
     const CLIENTS: usize = 200;
     for disconnect_first in [true, false] {
         let gated = GatedBackends::start();
--- a/tests/races/client_side.rs
+++ b/tests/races/client_side.rs
@@ -44,7 +44,7 @@
 /// Each idle keep-alive connection is sent a request in the turn in which the node would close it, past the
 /// body deadline. The node must read the requests before it closes anything.
 #[test]
-fn requests_on_resting_connections_that_come_in_the_turn_of_the_close_are_answered() {
+fn requests_that_arrive_as_their_idle_connection_closes_are_answered() {
     let (backends, received) = echo_backends();
     let (mut node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &backends.each_ref());
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| node.client()).collect();
@@ -111,7 +111,7 @@
 /// A response that its client reads late must arrive completely, also if the client sent bytes that the node
 /// won't read.
 #[test]
-fn an_answer_that_is_being_written_comes_whole() {
+fn a_response_that_is_read_late_arrives_completely() {
     const LENGTH: usize = 8 << 20;
     for (extra_bytes, terminated) in [(0, true), (256 << 10, false), (256 << 10, true)] {
         let backend = Backend::start(|_| Reply::Answer("200 OK", "", vec![b'a'; LENGTH]));
@@ -147,7 +147,7 @@
 
 /// A backend that hangs past the deadline must not delay the shutdown: its request is answered by then.
 #[test]
-fn a_backend_that_hangs_past_the_deadline_is_answered_for() {
+fn a_request_whose_backend_hangs_is_answered_by_its_deadline_during_shutdown() {
     let backend = Backend::start(|_| Reply::Silence);
     let (mut node, _watch, _discovery) = serving_node(&settings(1000, ""), &[&backend]);
     let mut client = node.client();
@@ -162,7 +162,7 @@
 
 /// A process without a server list shuts down gracefully too, and answers the requests that it accepted.
 #[test]
-fn sigterm_before_the_node_is_ready_ends_it_in_order() {
+fn sigterm_before_the_node_is_ready_shuts_it_down_gracefully() {
     let discovery = Discovery::start();
     let mut node = Node::start(&config(discovery.address, &settings(DEADLINE_MS, ""), 1024), "");
     let _silent = discovery.next_call();
@@ -177,7 +177,7 @@
 /// SIGTERM twice, or SIGTERM and SIGHUP in one turn: the node must shut down once, and answer the request in
 /// progress.
 #[test]
-fn sigterm_twice_or_with_sighup_ends_the_node_once() {
+fn sigterm_twice_or_with_sighup_shuts_the_node_down_once() {
     for hangup in [None, Some(true), Some(false)] {
         let (release, release_gate) = std::sync::mpsc::channel::<()>();
         let release_gate = Mutex::new(release_gate);
--- a/tests/races/floods.rs
+++ b/tests/races/floods.rs
@@ -181,28 +181,28 @@
 }
 
 #[test]
-fn a_crowd_that_sends_nothing_is_sent_off_and_good_clients_are_served() {
+fn in_a_flood_that_sends_nothing_connections_close_and_regular_clients_are_served() {
     flood("idle", send_nothing, 400, 5);
 }
 
 #[test]
-fn a_crowd_that_sends_half_is_told_so_and_good_clients_are_served() {
+fn in_a_flood_of_incomplete_requests_each_is_ended_and_regular_clients_are_served() {
     flood("half a head", send_half_head, 300, 4);
     flood("half a body", send_half_body, 100, 2);
 }
 
 #[test]
-fn a_crowd_that_sends_much_and_goes_leaves_nothing_behind() {
+fn floods_of_junk_and_oversized_bodies_leave_nothing_behind() {
     flood("much and gone", send_and_disconnect, 50, 40);
     flood("too long", send_too_long, 10, 2);
 }
 
 #[test]
-fn a_crowd_that_sends_a_byte_a_second_is_ended() {
+fn in_a_flood_that_sends_a_byte_a_second_connections_are_closed() {
     flood("a byte a second", send_slowly, 100, 1);
 }
 
 #[test]
-fn a_crowd_that_refuses_to_read_is_ended() {
+fn in_a_flood_that_reads_no_response_connections_are_closed() {
     flood("refuses to read", never_read, 20, 1);
 }
--- a/tests/races/handover.rs
+++ b/tests/races/handover.rs
@@ -29,7 +29,7 @@
 // ---- Hot restart --------------------------------------------------------------------------------
 
 #[test]
-fn after_a_new_process_crashed_the_old_one_has_its_whole_share_and_the_next_takes_over_from_it() {
+fn after_a_successor_crashes_its_predecessor_regains_the_whole_limit_and_can_be_replaced() {
     let backend = Backend::start(|_| ok("fine"));
     let sockets = 128; // limit of 48 clients, of which two processes have 12 each
     let (mut old, _watch, discovery) =
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_drain_is_carried_over_whether_it_is_called_for_before_or_while_there_are_two() {
+fn a_drain_before_or_during_a_hot_restart_is_carried_over() {
     let backend = Backend::start(|_| ok("fine"));
     for before in [true, false] {
         let (mut old, _watch, discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_new_process_that_is_told_to_stop_before_it_is_ready_leaves_the_queue_to_the_old_one() {
+fn a_successor_terminated_before_it_is_ready_leaves_the_queue_to_its_predecessor() {
     let backend = Backend::start(|_| ok("fine"));
     let (old, _watch, discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     let config = successor_config(old.address, &discovery, &settings(DEADLINE_MS, ""), 1024);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn new_settings_told_to_both_processes_of_an_upgrade_hold_in_both_and_after_it() {
+fn a_reload_in_both_processes_of_a_hot_restart_applies_to_both_and_afterwards() {
     let backend = Backend::start(|_| ok("fine"));
     let (mut old, _watch, discovery) = serving_node(&settings(DEADLINE_MS, ""), &[&backend]);
     let address = old.address;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn both_processes_of_an_upgrade_told_to_stop_answer_what_they_hold() {
+fn both_processes_of_a_hot_restart_answer_their_requests_after_sigterm() {
     let (release, release_gate) = channel::<()>();
     let release_gate = Arc::new(Mutex::new(release_gate));
     let backend = Backend::start(move |_| {
@@ -165,7 +165,7 @@
 
 /// The configuration is read from a named pipe, so that the signal arrives while the read is blocked.
 #[test]
-fn a_signal_that_comes_while_the_configuration_is_read_is_heard() {
+fn a_signal_during_the_first_read_of_the_configuration_is_handled() {
     for (signal, says) in [("-HUP", "told to look again"), ("-TERM", "told to stop")] {
         let discovery = Discovery::start();
         let text = config(discovery.address, &settings(DEADLINE_MS, ""), 1024);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_process_that_knows_backends_is_ready_with_discovery_refusing_silent_or_broken() {
+fn a_process_with_a_known_list_becomes_ready_while_discovery_is_unusable() {
     let backend = Backend::start(|_| ok("fine"));
     let known = list(7, true, &[entry("s-0", backend.address, "in_service"), r#"{"name":1}"#.into()]);
     let refuses = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_known_list_that_is_no_good_is_passed_over_and_the_end_before_the_first_list_is_in_good_order() {
+fn an_invalid_known_list_is_ignored_and_a_node_without_a_list_exits_cleanly() {
     let backend = Backend::start(|_| ok("fine"));
     for known in
         ["3", r#"{"endpoints":"none"}"#, r#"{"index":-1,"endpoints":[]}"#, r#"{"endpoints":[7,null]}"#]
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn thirty_processes_that_start_at_once_without_discovery_are_all_ready() {
+fn thirty_processes_that_start_at_once_without_discovery_all_become_ready() {
     let backend = Backend::start(|_| ok("fine"));
     let known = list(7, true, &[entry("s-0", backend.address, "in_service")]);
     let refuses = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn classes_and_tenants_go_by_name_whatever_their_order_before_and_after_new_settings() {
+fn classes_and_tenants_are_matched_by_name_in_any_order_across_reloads() {
     let (release, release_gate) = channel::<()>();
     let release_gate = Arc::new(Mutex::new(release_gate));
     // Several backends: one with a request in flight counts as loaded for the next.
--- a/tests/races/lists.rs
+++ b/tests/races/lists.rs
@@ -44,7 +44,7 @@
 /// a list soon after discovery works again, which before refuses connections, answers with an error and
 /// closes a response.
 #[test]
-fn a_list_that_must_be_asked_for_is_there_soon_after_discovery() {
+fn a_polled_list_is_applied_soon_after_discovery_recovers() {
     for (interval_ms, grace_ms) in [(600_000, 250), (60_000, 700)] {
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
         let listener = refusing_socket();
@@ -65,7 +65,7 @@
 /// The process is stopped while a value and the reset after it arrive, so that it reads both at once: on an
 /// open watch, and on a watch whose response head arrives with them.
 #[test]
-fn a_last_value_and_the_reset_behind_it_in_one_read() {
+fn a_value_followed_by_a_reset_in_one_read_is_applied() {
     for opened in [true, false] {
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
         let (node, first, discovery) = serving_node(&settings(20_000, ""), &[&old]);
@@ -94,7 +94,7 @@
 /// refuses connections or does not answer. Discovery, connections to backends, the operators and well-behaved
 /// clients must still get descriptors.
 #[test]
-fn idle_clients_that_fill_all_descriptors_keep_no_list_away() {
+fn idle_clients_that_use_all_descriptors_do_not_block_the_list() {
     const SOCKETS: usize = 128;
     for silent in [false, true] {
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
--- a/tests/races/settings.rs
+++ b/tests/races/settings.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn requests_are_served_while_new_settings_are_read_and_go_by_the_old_ones_until_then() {
+fn requests_use_the_old_settings_until_a_reload_completes() {
     let slow = SlowReload::start();
     let mut file = slow.begin_reload();
     let text = slow.config_with_class("amend");
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_signal_that_comes_while_a_file_is_read_has_the_next_one_read_after_it() {
+fn a_sighup_during_a_reload_causes_another_reload() {
     let slow = SlowReload::start();
     let mut file = slow.begin_reload();
     replace_config(slow.node.config(), &slow.config_with_class("second"));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_file_that_breaks_off_while_it_is_read_changes_nothing() {
+fn a_truncated_configuration_file_changes_nothing() {
     let slow = SlowReload::start();
     let mut file = slow.begin_reload();
     let text = slow.config_with_class("amend");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_process_that_is_told_to_stop_does_not_wait_for_a_file_that_never_ends() {
+fn sigterm_does_not_wait_for_a_reload_that_never_ends() {
     let mut slow = SlowReload::start();
     let _file = slow.begin_reload();
     slow.check_served("GET /read/1");
--- a/tests/restarts/mod.rs
+++ b/tests/restarts/mod.rs
@@ -17,7 +17,7 @@
 /// until the node is terminating. Each request that reached a backend must be answered completely; of the
 /// first requests on accepted connections fewer than one in 200 may end without a response.
 #[test]
-fn a_restart_under_two_hundred_connections_loses_nothing() {
+fn a_shutdown_under_two_hundred_connections_loses_no_accepted_request() {
     let received = Arc::new(Mutex::new(BTreeSet::new()));
     let backends = [0, 1, 2, 3].map(|_| {
         let received = received.clone();
@@ -96,7 +96,7 @@
 /// Bursts of clients that disconnect before their response: each disconnect must end its attempt and leave
 /// nothing open. Another client is answered meanwhile, and served afterwards.
 #[test]
-fn storms_of_clients_that_give_up_leave_nothing_behind() {
+fn bursts_of_client_disconnects_leave_nothing_behind() {
     let backends = [0, 1].map(|_| {
         Backend::start(
             |message| if message.start_line.contains("/correct/") { Reply::Silence } else { ok("") },
