--- a/src/bin/sillward/backend/tests.rs
+++ b/src/bin/sillward/backend/tests.rs
@@ -26,7 +26,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let config = Config::parse(config).expect("good");
+        let config = Config::parse(config).expect("a valid configuration");
         let pool = ConnectionPool::start(
             Clock::start(),
             &config,
@@ -493,8 +493,9 @@
     client.write_all(head.as_bytes()).await.expect("it is read");
     client.write_all(&vec![b'x'; sent]).await.expect("it is read");
     let body = received.recv().await.expect("a request");
-    let patience = crate::body::IdleBudget::until(tokio::time::Instant::now() + MINUTE);
-    let (upload, _unread) = crate::body::Upload::new((Bytes::new(), None), body, patience, Box::new(|| {}));
+    let idle_budget = crate::body::IdleBudget::until(tokio::time::Instant::now() + MINUTE);
+    let (upload, _unread) =
+        crate::body::Upload::new((Bytes::new(), None), body, idle_budget, Box::new(|| {}));
     (upload, client)
 }
 
@@ -508,7 +509,7 @@
         with_pool(async |pool, listener, _| {
             let (body, _client) = upload(LENGTH, sent).await;
             let mut attempt = attempt_with_id(&pool, "1");
-            let forward = Rc::get_mut(&mut attempt.forward).expect("nobody else has it");
+            let forward = Rc::get_mut(&mut attempt.forward).expect("the only reference");
             forward.body = RequestBody::streamed(body);
             let (_stop, stopped) = oneshot::channel();
             let (messages, _inbox) = mpsc::channel(1);
--- a/src/bin/sillward/backend_stream.rs
+++ b/src/bin/sillward/backend_stream.rs
@@ -3,7 +3,7 @@
 //!
 //! A faulty backend may answer a request twice, the second time some milliseconds later. HTTP/1.1 does not
 //! say which request a response belongs to, so if the next request is already written, its client gets the
-//! stray response (response desynchronisation). Therefore unsolicited bytes end the connection, no request is
+//! wrong response (response desynchronisation). Therefore unsolicited bytes end the connection, no request is
 //! written to a connection that has unread bytes, and from then on that backend's connections are quarantined
 //! for a while after each response before they are reused. `docs/restarts.md` has the alternatives that were
 //! considered.
@@ -22,8 +22,9 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The shortest quarantine after a response. A second response comes some milliseconds after the first (the
-/// operators' exchange page): 20 ms covers that, and a quarter is added for variation in network delay.
+/// The shortest quarantine after a response. A second response comes some milliseconds after the first,
+/// according to the operators' description of the protocol: 20 ms covers that, and a quarter is added for
+/// variation in network delay.
 pub const MIN_QUARANTINE: Duration = Duration::from_millis(25);
 /// The longest quarantine after a response. Bytes that arrive more than half of this after a response can't
 /// be distinguished from those on a connection that is about to be closed for idleness.
--- a/src/bin/sillward/body.rs
+++ b/src/bin/sillward/body.rs
@@ -72,7 +72,9 @@
 
 /// The request body that an attempt writes.
 pub enum AttemptBody {
+    /// The whole body.
     Buffered(Full<Bytes>),
+    /// A body that is read from the client while it is written.
     Streamed(Box<Upload>),
 }
 
@@ -150,7 +152,7 @@
         self.fully_read.clone()
     }
 
-    /// The last byte has arrived, and is passed on with the current chunk or was before.
+    /// The last byte has arrived, and is forwarded with the current chunk or has been before.
     fn finish(&mut self) {
         self.fully_read.set(true);
         if let Some(on_last_byte) = self.on_last_byte.take() {
@@ -220,14 +222,19 @@
 
 /// A chunk of a streamed response. A channel that closes without an `End` means that the response broke off.
 pub enum BodyChunk {
+    /// The next bytes.
     Data(Bytes),
+    /// The response is complete.
     End,
 }
 
 /// A streamed response on its way to the client, with a guard that is dropped together with it.
 pub struct Download<T> {
+    /// The body.
     pub chunks: mpsc::Receiver<BodyChunk>,
+    /// The number of bytes still to come, where it is known.
     pub length: Option<u64>,
+    /// Dropped with the response.
     pub guard: T,
 }
 
--- a/src/bin/sillward/client.rs
+++ b/src/bin/sillward/client.rs
@@ -31,6 +31,7 @@
     pub shed: Cell<bool>,
     /// Tells the connection to close, as [`Client::close_mode`] allows.
     pub close: Notify,
+    /// Asks the kernel whether the client is still connected.
     pub liveness: Liveness,
 }
 
--- a/src/bin/sillward/frontend.rs
+++ b/src/bin/sillward/frontend.rs
@@ -76,7 +76,9 @@
 pub struct NodeState {
     /// Whether it holds a list of backends.
     pub ready: Rc<Cell<bool>>,
+    /// Whether it serves, drains or shuts down.
     pub lifecycle: Rc<Lifecycle>,
+    /// The processes beside it during a hot restart.
     pub hot_restart: Rc<HotRestart>,
 }
 
@@ -274,8 +276,8 @@
         pending.into_iter().for_each(|stream| self.serve(stream));
     }
 
-    /// Tells the idle connection with the oldest activity to close. Closing may take a moment, so a
-    /// connection that was told already is passed over.
+    /// Tells the connection that has been idle for longest to close. Closing may take a moment, so a
+    /// connection that has been told is skipped.
     fn shed_longest_idle(&self) {
         let clients = self.clients.borrow();
         let idle = clients.values().filter(|client| client.idle_since.get().is_some() && !client.shed.get());
--- a/src/bin/sillward/frontend/disconnects.rs
+++ b/src/bin/sillward/frontend/disconnects.rs
@@ -19,7 +19,7 @@
 /// What keeps the node from learning at once that a client has disconnected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum NoticeDelay {
-    /// Nothing: it learns of it on its next turn.
+    /// Nothing: it learns of it on the event loop's next turn.
     None,
     /// The message waits behind others.
     Queued,
@@ -46,12 +46,12 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let config = Config::parse(CONFIG).expect("a valid configuration");
-        let (clock, current) = (Clock::start(), LiveSettings::new(config.site.clone()));
+        let (clock, live_settings) = (Clock::start(), LiveSettings::new(config.site.clone()));
         let (messages, mut from_frontend) = mpsc::channel(4096);
         let (to_node, inbox) = mpsc::channel(4096);
         let (commands, mut received_commands) = mpsc::channel(16);
         spawn_local(async move { while received_commands.recv().await.is_some() {} });
-        let pool = ConnectionPool::start(clock, &config, current.clone(), Rc::default());
+        let pool = ConnectionPool::start(clock, &config, live_settings.clone(), Rc::default());
         spawn_local(crate::node::Node::new(clock, &config, pool, to_node.clone(), commands).run(inbox));
         let (disconnects, hold_disconnects) = (Rc::<Cell<usize>>::default(), Rc::<Cell<bool>>::default());
         let (counter, hold_flag) = (disconnects.clone(), hold_disconnects.clone());
@@ -90,7 +90,7 @@
             lifecycle: Rc::new(Lifecycle::new()),
             hot_restart: Rc::default(),
         };
-        let frontend = Frontend::new(clock, &config, current, messages.clone(), node);
+        let frontend = Frontend::new(clock, &config, live_settings, messages.clone(), node);
         let list_update = ListUpdate { kind: ListKind::Full, backends };
         messages.send(Message::List(list_update)).await.unwrap_or_else(|_| panic!("the node runs"));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -166,7 +166,8 @@
     }
 }
 
-/// A backend's answer that allows a retry and the client's disconnect fall in one turn, in both orders.
+/// A backend's response that allows a retry and the client's disconnect arrive in one turn of the event loop,
+/// in both orders.
 /// Whether the node has learned of the disconnect or not, it must make no further attempt.
 #[test]
 fn a_disconnect_between_two_attempts_prevents_the_second() {
--- a/src/bin/sillward/frontend/tests.rs
+++ b/src/bin/sillward/frontend/tests.rs
@@ -13,8 +13,8 @@
     let (messages, inbox) = mpsc::channel(4096);
     let node =
         NodeState { ready: Rc::default(), lifecycle: Rc::new(Lifecycle::new()), hot_restart: Rc::default() };
-    let current = LiveSettings::new(config.site.clone());
-    (Frontend::new(Clock::start(), &config, current, messages, node), inbox)
+    let live_settings = LiveSettings::new(config.site.clone());
+    (Frontend::new(Clock::start(), &config, live_settings, messages, node), inbox)
 }
 
 /// Answers each request with its id after `delay`, the request `first` at once. Returns the ids as they
--- a/src/bin/sillward/handover.rs
+++ b/src/bin/sillward/handover.rs
@@ -156,6 +156,7 @@
 /// The sockets that a successor receives: the clients' listening socket, and the Unix socket for the next
 /// successor.
 pub struct Sockets {
+    /// The listening socket.
     pub listener: TcpListener,
     /// `None` from an earlier version of the program, which passes the first alone.
     pub handover_listener: Option<UnixListener>,
@@ -308,7 +309,8 @@
     }
 }
 
-/// Sends the sockets together with this process's status.
+/// Sends the sockets together with two bytes: an `L`, which earlier versions of the program send alone, and
+/// this process's status.
 async fn send(stream: &UnixStream, sockets: [BorrowedFd<'_>; 2], own: ProcessStatus) -> io::Result<()> {
     let sent = stream.async_io(Interest::WRITABLE, || {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
--- a/src/bin/sillward/handover/tests.rs
+++ b/src/bin/sillward/handover/tests.rs
@@ -150,7 +150,7 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             LocalSet::new().block_on(&runtime.expect("a runtime"), async {
                 let config = hillpick::control::config::Config::parse(CONFIG).expect("a valid configuration");
-                let current = hillpick::control::config::LiveSettings::new(config.site.clone());
+                let live_settings = hillpick::control::config::LiveSettings::new(config.site.clone());
                 let (messages, _inbox) = tokio::sync::mpsc::channel(16);
                 let (hot_restart, lifecycle) = (Rc::<HotRestart>::default(), active_lifecycle());
                 let node = crate::frontend::NodeState {
@@ -159,7 +159,7 @@
                     hot_restart: hot_restart.clone(),
                 };
                 let clock = hillpick::control::clock::Clock::start();
-                let frontend = crate::frontend::Frontend::new(clock, &config, current, messages, node);
+                let frontend = crate::frontend::Frontend::new(clock, &config, live_settings, messages, node);
                 let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
                 let address = listener.local_addr().expect("its address");
                 let mut client = tokio::net::TcpStream::connect(address).await.expect("room in the queue");
@@ -228,7 +228,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let config = hillpick::control::config::Config::parse(CONFIG).expect("a valid configuration");
         let max_clients = config.max_client_connections;
-        let current = hillpick::control::config::LiveSettings::new(config.site.clone());
+        let live_settings = hillpick::control::config::LiveSettings::new(config.site.clone());
         let (messages, mut inbox) = tokio::sync::mpsc::channel(256);
         let (hot_restart, lifecycle) = (Rc::<HotRestart>::default(), active_lifecycle());
         let node = crate::frontend::NodeState {
@@ -239,7 +239,7 @@
         let frontend = crate::frontend::Frontend::new(
             hillpick::control::clock::Clock::start(),
             &config,
-            current,
+            live_settings,
             messages,
             node,
         );
@@ -290,10 +290,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let config = hillpick::control::config::Config::parse(CONFIG).expect("a valid configuration");
-        let current = hillpick::control::config::LiveSettings::new(config.site.clone());
+        let live_settings = hillpick::control::config::LiveSettings::new(config.site.clone());
         let hot_restart = Rc::<HotRestart>::default();
         let clock = hillpick::control::clock::Clock::start();
-        let pool = crate::backend::ConnectionPool::start(clock, &config, current, hot_restart.clone());
+        let pool = crate::backend::ConnectionPool::start(clock, &config, live_settings, hot_restart.clone());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("its address");
         let entry =
@@ -320,8 +320,8 @@
         for backend in &backends {
             assert_eq!(pool.clone().probe(backend.entry.id).await.0, hillpick::Outcome::Served);
         }
-        let half = hot_restart.share_of_limit(config.max_backend_connections);
-        assert_eq!((open.get(), closed.get(), half), (backends.len(), 0, backends.len()));
+        let share = hot_restart.share_of_limit(config.max_backend_connections);
+        assert_eq!((open.get(), closed.get(), share), (backends.len(), 0, backends.len()));
         hot_restart.update_siblings(|siblings| {
             siblings.predecessor = Some(ProcessStatus { state: ProcessState::Active, accepting: true })
         });
--- a/src/bin/sillward/lifecycle.rs
+++ b/src/bin/sillward/lifecycle.rs
@@ -22,7 +22,9 @@
 /// A lifecycle state, and when it was entered.
 #[derive(Clone, Copy, Debug)]
 pub struct Phase {
+    /// The state.
     pub state: ProcessState,
+    /// When it was entered.
     pub since: Instant,
 }
 
@@ -41,6 +43,7 @@
 }
 
 impl Lifecycle {
+    /// A lifecycle in the state `Active`.
     pub fn new() -> Self {
         Lifecycle {
             phase: watch::Sender::new(Phase { state: ProcessState::Active, since: Instant::now() }),
@@ -48,10 +51,12 @@
         }
     }
 
+    /// The current phase.
     pub fn now(&self) -> Phase {
         *self.phase.borrow()
     }
 
+    /// Watches the phase.
     pub fn watch(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
--- a/src/bin/sillward/main.rs
+++ b/src/bin/sillward/main.rs
@@ -45,8 +45,8 @@
 const LISTEN_BACKLOG: u32 = 4096;
 
 /// A configuration up to this length is reloaded on the thread that serves requests, a longer one on a thread
-/// of its own. Requests may be delayed by 3.4 ms; `benches/settings.rs` shows by how much a reload delays
-/// them.
+/// of its own. The permitted delay of requests is 3.4 ms; `benches/settings.rs` shows by how much a reload
+/// delays them.
 const INLINE_CONFIG_MAX_BYTES: u64 = 64 * 1024;
 
 fn main() -> ExitCode {
--- a/src/bin/sillward/messages.rs
+++ b/src/bin/sillward/messages.rs
@@ -82,7 +82,7 @@
 
 /// A request that the client side has accepted.
 pub struct AcceptedRequest {
-    /// The request, as the decision module is told of it.
+    /// The request, as it is given to the decision module.
     pub request: NewRequest,
     /// When it was received: whole, or as much of it as is buffered if the body is streamed.
     pub received_at: Duration,
@@ -222,7 +222,7 @@
     pub budget: Duration,
     /// When the client stops waiting. Far in the future while its request body is still being received.
     pub deadline: Cell<Duration>,
-    /// How long backends recognise repeats of a keyed request, from the first byte of the first attempt.
+    /// How long backends deduplicate the attempts of a keyed request, from the first byte of the first attempt.
     pub dedup_window: Option<Duration>,
     /// When the first byte of the first attempt was sent.
     pub first_byte_at: Cell<Option<Duration>>,
--- a/src/bin/sillward/node/tests.rs
+++ b/src/bin/sillward/node/tests.rs
@@ -30,11 +30,11 @@
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().start_paused(true).build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let (clock, config) = (Clock::start(), Config::parse(config).expect("good"));
-        let ((messages, inbox), (orders, _orders)) = (mpsc::channel(16), mpsc::channel(16));
+        let (clock, config) = (Clock::start(), Config::parse(config).expect("a valid configuration"));
+        let ((messages, inbox), (commands, _commands)) = (mpsc::channel(16), mpsc::channel(16));
         let pool =
             ConnectionPool::start(clock, &config, LiveSettings::new(config.site.clone()), Rc::default());
-        test(Node::new(clock, &config, pool, messages, orders), inbox).await
+        test(Node::new(clock, &config, pool, messages, commands), inbox).await
     });
 }
 
@@ -69,7 +69,7 @@
 fn a_request_that_a_timer_refuses_is_removed() {
     with_node(async |mut node| {
         let mut answer = request(&mut node, 1);
-        assert_eq!(node.requests.len(), 1, "it is held until a backend is listed");
+        assert_eq!(node.requests.len(), 1, "it waits until a backend is listed");
         for _ in 0..1000 {
             tokio::time::advance(node.site.settings.timer_resolution).await;
             node.fire_timers();
@@ -92,7 +92,7 @@
         if let Some(value) = poll() {
             return value;
         }
-        assert!(std::time::Instant::now() < end, "waited in vain");
+        assert!(std::time::Instant::now() < end, "timed out");
         yield_now().await;
     }
 }
@@ -128,20 +128,20 @@
         })
         .await
     };
-    let mut stream = held(accepted).await;
+    let mut stream = without_advance(accepted).await;
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
-        head.push(held(stream.read_u8()).await.expect("a request"));
+        head.push(without_advance(stream.read_u8()).await.expect("a request"));
     }
     stream
 }
 
 /// Waits for a future without letting the paused clock advance.
-async fn held<T>(future: impl Future<Output = T>) -> T {
+async fn without_advance<T>(future: impl Future<Output = T>) -> T {
     let mut future = std::pin::pin!(future);
     let end = std::time::Instant::now() + TEST_TIMEOUT;
     std::future::poll_fn(|cx| {
-        assert!(std::time::Instant::now() < end, "waited in vain");
+        assert!(std::time::Instant::now() < end, "timed out");
         cx.waker().wake_by_ref(); // the runtime is never idle, so its clock does not advance
         future.as_mut().poll(cx)
     })
@@ -151,7 +151,7 @@
 /// Sends the head and the first bytes of a response that is too long to be buffered.
 async fn start_response(stream: &mut TcpStream) {
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\nbegun");
-    held(stream.write_all(head.as_bytes())).await.expect("the node reads");
+    without_advance(stream.write_all(head.as_bytes())).await.expect("the node reads");
 }
 
 /// Sends the rest of the response while its chunks are received. Whether the client got all of it.
@@ -168,7 +168,7 @@
         }
         received
     };
-    let (_, received) = held(async { tokio::join!(stream.write_all(&rest), receive) }).await;
+    let (_, received) = without_advance(async { tokio::join!(stream.write_all(&rest), receive) }).await;
     (length, received) == (LENGTH as u64, LENGTH as u64)
 }
 
@@ -177,7 +177,7 @@
     node.stop_attempt(RequestId(1), 0, StopReason::TimedOut);
 }
 
-/// Lets tasks that were told to stop do so.
+/// Lets the tasks run, so that stopped attempts end.
 async fn run_tasks() {
     for _ in 0..100 {
         yield_now().await;
@@ -227,7 +227,7 @@
         time_out(&mut node);
         let ended = next_message(&mut inbox).await;
         assert!(matches!(&ended, Message::AttemptEnded(result) if result.outcome == Outcome::TimedOut));
-        assert_eq!(held(stream.read(&mut [0])).await.unwrap_or(0), 0, "its connection is closed");
+        assert_eq!(without_advance(stream.read(&mut [0])).await.unwrap_or(0), 0, "its connection is closed");
     });
 }
 
--- a/tests/bodies/mod.rs
+++ b/tests/bodies/mod.rs
@@ -55,7 +55,7 @@
             assert!(answer.body == sent, "{framing}: {length} bytes came back changed");
             assert!(
                 backend.next_request().1.body == sent,
-                "{framing}: {length} bytes were passed on changed"
+                "{framing}: {length} bytes were forwarded changed"
             );
         }
     }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -22,6 +22,7 @@
     pub start_line: String,
     /// The headers, with names in lower case.
     pub headers: BTreeMap<String, String>,
+    /// The body, without its framing.
     pub body: Vec<u8>,
 }
 
@@ -103,6 +104,7 @@
 
 /// A scripted backend.
 pub struct Backend {
+    /// Where it listens.
     pub address: SocketAddr,
     events: Receiver<BackendEvent>,
     /// How many requests it has received.
@@ -195,13 +197,14 @@
 
 /// A discovery agent that the test scripts.
 pub struct Discovery {
+    /// Where it listens.
     pub address: SocketAddr,
     calls: Receiver<Watch>,
 }
 
 /// A watch request of the node to discovery, answered by the test. Once it is open, a heartbeat (an empty
-/// line) is sent every half second, so that the node does not see a stalled watch while a slow machine runs
-/// the test.
+/// line) is sent every half second, so that the node does not take the watch for stalled when a slow machine
+/// runs the test.
 pub struct Watch {
     /// The request line.
     pub start_line: String,
@@ -378,6 +381,7 @@
     config: PathBuf,
     /// The directory of its upgrade socket and saved files, not shared with other nodes.
     pub tmp: PathBuf,
+    /// Where it listens for clients.
     pub address: SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,4 +1,4 @@
-//! Tests of the node as a process over loopback sockets, as its peers see it: each test stages one kind of
+//! Tests of the node as a process over loopback sockets, as its peers see it: each test provokes one kind of
 //! failure.
 
 mod bodies;
@@ -19,7 +19,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Two backends that share a script. The script is told how many requests both have received before.
+/// Two backends that share a script. The script gets the number of requests that both received before.
 fn two_backends(script: impl Fn(usize) -> Reply + Send + Sync + 'static) -> (Backend, Backend) {
     let (count, script) = (Arc::new(AtomicUsize::new(0)), Arc::new(script));
     let start = || {
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn a_node_that_must_ask_for_the_list_repeats_a_failed_call() {
+fn a_node_that_polls_the_list_repeats_a_failed_request() {
     let backend = Backend::start(|_| ok(""));
     let polling = settings(LONG_MS, "").replacen('{', r#"{"RegistryMode":"ask","#, 1);
     let polling = polling.replace(r#""DrainGrace":2000"#, r#""DrainGrace":2000,"MustAskIn":1000"#);
@@ -500,7 +500,10 @@
     let clients: Vec<Client> = (0..60).map(|_| node.client()).collect();
     node.wait_for_log("cannot accept");
     drop(clients);
-    wait_until(|| node.client().request_read().status() == 200, "service after the clients have left");
+    wait_until(
+        || node.client().request_read().status() == 200,
+        "service after the clients have disconnected",
+    );
 }
 
 #[test]
--- a/tests/races/client_gone.rs
+++ b/tests/races/client_gone.rs
@@ -50,14 +50,14 @@
     }
 }
 
-fn ask_held(node: &Node) -> Client {
+fn send_held(node: &Node) -> Client {
     let mut client = node.client();
     client.send("GET /read/held", &common_headers(DEADLINE_MS), b"");
     client
 }
 
 /// Serves enough other requests that the node has done all pending work.
-fn others_are_served(node: &Node) {
+fn serve_others(node: &Node) {
     let mut other = node.client();
     for _ in 0..50 {
         wait_until(|| other.request_read().status() == 200, "service");
@@ -71,9 +71,9 @@
     for half_close in [false, true] {
         let gated = GatedBackends::start();
         let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &gated.backends.each_ref());
-        others_are_served(&node);
+        serve_others(&node);
         let closed_gate = gated.gate.lock().expect("the gate");
-        let mut client = ask_held(&node);
+        let mut client = send_held(&node);
         wait_until(|| gated.held_requests() == 1, "the first attempt");
         client.write(b"GET /re");
         let stream = client.write_handle();
@@ -85,14 +85,14 @@
         let half_closed = half_close.then_some(client);
         wait_for_closes(&[port], node.address);
         drop(closed_gate);
-        others_are_served(&node);
+        serve_others(&node);
         assert_eq!(gated.held_requests(), 1, "half-close: {half_close}");
         // A half-closed client is not answered: a half-close counts as a close.
         assert!(half_closed.is_none_or(|mut client| client.read_to_end().is_empty()));
     }
 }
 
-/// The node's process is stopped while hundreds of clients disconnect and the answers that would allow a
+/// The node's process is stopped while hundreds of clients disconnect and the responses that would allow a
 /// retry arrive.
 #[test]
 fn a_burst_of_disconnects_while_the_node_is_stopped_prevents_further_attempts() {
@@ -100,9 +100,9 @@
     for disconnect_first in [true, false] {
         let gated = GatedBackends::start();
         let (node, _watch, _discovery) = serving_node(&settings(DEADLINE_MS, ""), &gated.backends.each_ref());
-        others_are_served(&node);
+        serve_others(&node);
         let closed_gate = gated.gate.lock().expect("the gate");
-        let clients: Vec<Client> = (0..CLIENTS).map(|_| ask_held(&node)).collect();
+        let clients: Vec<Client> = (0..CLIENTS).map(|_| send_held(&node)).collect();
         wait_until(|| gated.held_requests() > 0, "an attempt");
         node.set_stopped(true);
         let ports: Vec<u16> = clients.iter().map(Client::local_port).collect();
@@ -115,7 +115,7 @@
         }
         wait_for_closes(&ports, node.address);
         node.set_stopped(false);
-        others_are_served(&node);
+        serve_others(&node);
         // First attempts that the node wrote before it was stopped may reach a backend later, each once. Of
         // the requests that wait, fewer than a quarter may be sent on.
         let (held_requests, ids) = (gated.held_requests(), gated.ids.lock().expect("the ids").len());
--- a/tests/races/handover.rs
+++ b/tests/races/handover.rs
@@ -166,19 +166,19 @@
 /// The configuration is read from a named pipe, so that the signal arrives while the read is blocked.
 #[test]
 fn a_signal_during_the_first_read_of_the_configuration_is_handled() {
-    for (signal, says) in [("-HUP", "told to look again"), ("-TERM", "told to stop")] {
+    for (signal, logged) in [("-HUP", "told to look again"), ("-TERM", "told to stop")] {
         let discovery = Discovery::start();
         let text = config(discovery.address, &settings(DEADLINE_MS, ""), 1024);
         let mut command = command(&text, "");
         let path = command.get_envs().find_map(|(name, value)| value.filter(|_| name == "PROXY_CONFIG"));
         let path = std::path::PathBuf::from(path.expect("its configuration"));
-        let whole = path.with_extension("whole");
-        std::fs::rename(&path, &whole).expect("a new name");
+        let regular_file = path.with_extension("whole");
+        std::fs::rename(&path, &regular_file).expect("a new name");
         assert!(Command::new("mkfifo").arg(&path).status().expect("mkfifo runs").success());
         let mut child = command.env_remove("TMPDIR").spawn().expect("the node starts");
         // The open returns once the node reads. A reload is to find a regular file there.
         let mut pipe = std::fs::OpenOptions::new().write(true).open(&path).expect("a reader");
-        std::fs::rename(&whole, &path).expect("its name");
+        std::fs::rename(&regular_file, &path).expect("its name");
         let id = child.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().expect("kill runs").success());
         let _ = pipe.write_all(text.as_bytes()); // fails if the signal has killed the node
@@ -186,10 +186,10 @@
         let mut log = String::new();
         let mut stderr = child.stderr.take().expect("its log");
         let mut byte = [0];
-        while !log.contains(says) && stderr.read(&mut byte).expect("its log") > 0 {
+        while !log.contains(logged) && stderr.read(&mut byte).expect("its log") > 0 {
             log.push(char::from(byte[0]));
         }
-        assert!(log.contains(says), "{signal}: {log}");
+        assert!(log.contains(logged), "{signal}: {log}");
         if signal == "-TERM" {
             assert_eq!(child.wait().expect("its end").code(), Some(0));
         }
@@ -241,13 +241,13 @@
         node.terminate();
         assert_eq!(node.wait_for_exit().code(), Some(0));
 
-        let mut ends = Node::start(&config, "");
-        ends.terminate();
-        ends.signal("-HUP");
-        ends.terminate();
-        ends.wait_for_log("told to stop");
-        assert_eq!((ends.ops_call("GET /status"), ends.ops_call("POST /active")), (503, 409));
-        assert_eq!(ends.wait_for_exit().code(), Some(0));
+        let mut without_list = Node::start(&config, "");
+        without_list.terminate();
+        without_list.signal("-HUP");
+        without_list.terminate();
+        without_list.wait_for_log("told to stop");
+        assert_eq!((without_list.ops_call("GET /status"), without_list.ops_call("POST /active")), (503, 409));
+        assert_eq!(without_list.wait_for_exit().code(), Some(0));
     }
 }
 
@@ -308,7 +308,7 @@
     let (read, submit, correct) =
         (class("read", "free"), class("submit", "guarded"), class("correct", "single_shot"));
     let (acme, zeta) = (tenant("acme"), tenant("zeta"));
-    let of = |classes: &[&String], tenants: &[&String], discovery: &Discovery| {
+    let config_with = |classes: &[&String], tenants: &[&String], discovery: &Discovery| {
         let join = |all: &[&String]| all.iter().map(|one| one.as_str()).collect::<Vec<_>>().join(",");
         let config = with_ops(&config(discovery.address, &settings(DEADLINE_MS, ""), 1024));
         let config = with_array(&config, r#""Classes":["#, &join(classes));
@@ -319,7 +319,7 @@
         let discovery = Discovery::start();
         let mut classes = [&read, &submit, &correct];
         classes.rotate_left(first);
-        let node = Node::start(&of(&classes, &[&zeta, &acme], &discovery), "");
+        let node = Node::start(&config_with(&classes, &[&zeta, &acme], &discovery), "");
         let _list_watch = discovery.send_list_until(&list(8, true, &listed), || node.is_ready(), "readiness");
         let check_statuses = |calls: &[(&str, &str, u16)]| {
             for (start, name, status) in calls {
@@ -338,8 +338,8 @@
         classes.reverse();
         let remaining: Vec<_> = classes.into_iter().filter(|class| **class != correct).collect();
         // Two reloads in a row: whichever file the first one reads, the last file counts.
-        node.reload(&of(&[&submit], &[&acme], &discovery));
-        node.reload(&of(&remaining, &[&acme], &discovery));
+        node.reload(&config_with(&[&submit], &[&acme], &discovery));
+        node.reload(&config_with(&remaining, &[&acme], &discovery));
         let names = if remaining[0] == &read { "read, submit" } else { "submit, read" };
         node.wait_for_log(&format!("classes are {names}"));
         check_statuses(&[
@@ -350,7 +350,7 @@
         check_statuses(&[("POST /correct/1", "acme", 404)]);
         assert_eq!(node.ops_call("GET /status"), 200);
         // Both are back when the process is terminated: the request is still answered.
-        node.reload(&of(&[&correct, &read, &submit], &[&acme, &zeta], &discovery));
+        node.reload(&config_with(&[&correct, &read, &submit], &[&acme, &zeta], &discovery));
         node.wait_for_log("classes are correct, read, submit");
         check_statuses(&all.map(|start| (start, "zeta", 200)));
         node.signal("-HUP");
--- a/tests/races/lists.rs
+++ b/tests/races/lists.rs
@@ -40,9 +40,9 @@
     assert_eq!(old.request_count(), before);
 }
 
-/// Guards against a backoff that grows with the interval of the settings: however long that is, the node has
-/// a list soon after discovery works again, which before refuses connections, answers with an error and
-/// closes a response.
+/// Guards against a retry delay that grows with the configured polling interval. Discovery first refuses
+/// connections, then answers with an error, then breaks off a response; once it works again the node must
+/// soon have the list, however long the interval is.
 #[test]
 fn a_polled_list_is_applied_soon_after_discovery_recovers() {
     for (interval_ms, grace_ms) in [(600_000, 250), (60_000, 700)] {
@@ -100,7 +100,7 @@
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
         let listener = refusing_socket();
         if silent {
-            listen(&listener, 64).expect("calls are taken");
+            listen(&listener, 64).expect("connections are accepted");
         }
         let address = listener.local_addr().expect("its address");
         let config = with_ops(&config(address, &settings(20_000, ""), SOCKETS));
@@ -111,18 +111,18 @@
         let (finished, retried) = (AtomicBool::new(false), AtomicUsize::new(0));
         std::thread::scope(|scope| {
             let hold_connections = || {
-                let mut held = Vec::new();
+                let mut connections = Vec::new();
                 for number in 0..3_000 {
-                    if held.len() == 1_000 {
-                        held.drain(..100); // those that were closed are replaced
+                    if connections.len() == 1_000 {
+                        connections.drain(..100); // those that were closed are replaced
                     }
-                    held.push(TcpStream::connect(node.address).expect("the node listens"));
+                    connections.push(TcpStream::connect(node.address).expect("the node listens"));
                     if number > 1_000 && finished.load(Ordering::SeqCst) {
                         break;
                     }
                 }
                 wait_until(|| finished.load(Ordering::SeqCst), "the test's end");
-                held.len()
+                connections.len()
             };
             let holders = [scope.spawn(hold_connections), scope.spawn(hold_connections)];
             let request = || {
@@ -143,7 +143,7 @@
             (0..50).for_each(|_| assert_eq!(request(), b"old"));
             assert_eq!(Client::connect(ops).request("GET /status", "", b"").status(), 200);
             if !silent {
-                listen(&listener, 64).expect("calls are taken");
+                listen(&listener, 64).expect("connections are accepted");
             }
             Discovery::on(listener).answer_all_calls(&drain_update(&old, &new));
             wait_until(|| request() == b"new", "the list");
--- a/tests/restarts/mod.rs
+++ b/tests/restarts/mod.rs
@@ -104,8 +104,8 @@
     });
     let (node, _watch, _discovery) = serving_node(&settings(500_000, ""), &backends.each_ref());
     let request_total = || backends.iter().map(Backend::request_count).sum::<usize>();
-    let mut patient = node.client();
-    assert_eq!(patient.request_read().status(), 200);
+    let mut regular = node.client();
+    assert_eq!(regular.request_read().status(), 200);
     let before = node.open_descriptors();
     for _ in 0..10 {
         let count = request_total();
@@ -113,7 +113,7 @@
         burst.iter_mut().for_each(Client::send_correct);
         wait_until(|| request_total() > count, "an attempt");
         // The burst may hold all that the decision module lets the backends take: then a refusal is allowed.
-        assert!([200, 503].contains(&patient.request_read().status()));
+        assert!([200, 503].contains(&regular.request_read().status()));
         for (i, client) in burst.into_iter().enumerate() {
             // Some close, some half-close first, some have sent part of another request.
             let mut stream = client.write_handle();
@@ -124,8 +124,8 @@
             }
         }
         // Connections to backends may still be idle, or have been closed.
-        wait_until(|| node.open_descriptors() <= before + 2, "the end of what the storm opened");
+        wait_until(|| node.open_descriptors() <= before + 2, "the connections of the burst to close");
     }
-    wait_until(|| patient.request_read().status() == 200, "service after the storm");
+    wait_until(|| regular.request_read().status() == 200, "service after the burst");
     assert!(node.peak_memory() < 64 << 20, "{}", node.peak_memory());
 }
