--- a/src/bin/sillward/messages.rs
+++ b/src/bin/sillward/messages.rs
@@ -222,7 +222,8 @@
     pub budget: Duration,
     /// When the client stops waiting. Far in the future while its request body is still being received.
     pub deadline: Cell<Duration>,
-    /// How long backends deduplicate the attempts of a keyed request, from the first byte of the first attempt.
+    /// How long backends deduplicate the attempts of a keyed request, from the first byte of the first
+    /// attempt.
     pub dedup_window: Option<Duration>,
     /// When the first byte of the first attempt was sent.
     pub first_byte_at: Cell<Option<Duration>>,
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -379,7 +379,7 @@
 pub struct Node {
     child: Child,
     config: PathBuf,
-    /// The directory of its upgrade socket and saved files, not shared with other nodes.
+    /// The directory of its hot restart socket and saved files, not shared with other nodes.
     pub tmp: PathBuf,
     /// Where it listens for clients.
     pub address: SocketAddr,
