--- a/crates/lab/src/capacity/roles/control.rs
+++ b/crates/lab/src/capacity/roles/control.rs
@@ -8,7 +8,7 @@
 
 /// Members that a node keeps (`MAX_PEERS` in `src/control/config.rs`).
 const MOST_PEERS: f64 = hillpick::control::config::MAX_PEERS as f64;
-/// The longest saved file (`LONGEST` in `src/control/saved_file.rs`), in bytes.
+/// The longest saved file (`MAX_FILE_BYTES` in `src/control/saved_file.rs`), in bytes.
 const LONGEST_FILE: f64 = (4 << 20) as f64;
 /// A place of the ring (`Balancer::ready_ring`), in bytes: its point and the server's place.
 const RING_PLACE: f64 = 16.0;
--- a/crates/lab/src/scale/spec.rs
+++ b/crates/lab/src/scale/spec.rs
@@ -2,7 +2,7 @@
 
 use super::results::ScaleSize;
 use crate::spec::Problem;
-use hillpick::control::config::MOST_SUBSET;
+use hillpick::control::config::MAX_SUBSET;
 use serde::Deserialize;
 use std::path::Path;
 
@@ -307,7 +307,7 @@
         within("arrivals_per_s", self.arrivals_per_s, 0.0, 1_000.0)?;
         within("probe_ms", self.probe_ms as f64, 100.0, 60_000.0)?;
         let subset = self.subset.unwrap_or(hillpick::LEAST_SUBSET as u32);
-        within("subset", f64::from(subset), hillpick::LEAST_SUBSET as f64, MOST_SUBSET as f64)?;
+        within("subset", f64::from(subset), hillpick::LEAST_SUBSET as f64, MAX_SUBSET as f64)?;
         within("zones", f64::from(self.zones), 1.0, f64::from(MOST_ZONES))?;
         within("regions", f64::from(self.regions), 1.0, f64::from(self.zones))?;
         let counts = [
--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -36,7 +36,7 @@
 /// applied.
 pub const HELD_SERVER_BYTES: usize = 1024;
 /// The largest subset that may be configured, in servers of each ring.
-pub const MOST_SUBSET: usize = 16_384;
+pub const MAX_SUBSET: usize = 16_384;
 /// Lower bound of [`Config::max_listed_servers`], however little memory is configured.
 const MIN_LIST_LIMIT: usize = 2_000;
 /// The most members that a node keeps, and the most peer addresses that a configuration may have.
@@ -302,7 +302,7 @@
             None => object_from_env::<SubsetFile>("SILLWARD_SUBSET")?,
         };
         let subset = subset.map(|subset| subset.servers);
-        if let Some(servers) = subset.filter(|servers| !(LEAST_SUBSET..=MOST_SUBSET).contains(servers)) {
+        if let Some(servers) = subset.filter(|servers| !(LEAST_SUBSET..=MAX_SUBSET).contains(servers)) {
             return Err(ConfigError::SubsetOutOfRange(servers));
         }
         let server_bytes = if subset.is_some() { LISTED_SERVER_BYTES } else { HELD_SERVER_BYTES };
--- a/src/control/config/error.rs
+++ b/src/control/config/error.rs
@@ -1,7 +1,7 @@
 //! Configuration errors: each names the key or the position, the value that stands there and what was
 //! expected.
 
-use super::{MAX_PEERS, MIN_CONNECTIONS, MOST_SUBSET, RESERVED_SOCKETS};
+use super::{MAX_PEERS, MAX_SUBSET, MIN_CONNECTIONS, RESERVED_SOCKETS};
 use crate::LEAST_SUBSET;
 use crate::settings::{self, NameError, NameTable, TooManyNames};
 use std::fmt::Display;
@@ -99,7 +99,7 @@
     )]
     TooFewSockets(usize),
     /// The subset is too small to select servers from, or too large to save memory.
-    #[error("subset.servers = {0}: expected {LEAST_SUBSET} to {MOST_SUBSET}")]
+    #[error("subset.servers = {0}: expected {LEAST_SUBSET} to {MAX_SUBSET}")]
     SubsetOutOfRange(usize),
     /// Membership is configured, but the settings forbid the messages between nodes that it needs.
     #[error(
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -328,7 +328,7 @@
         if self.sent_view != Some(fleet_view) && self.messages.try_send(M::from(fleet_view)).is_ok() {
             self.sent_view = Some(fleet_view); // if the queue is full, the next check tries again
             log(format_args!(
-                "the tier: {} live, rank {}, {}",
+                "the fleet: {} live, rank {}, {}",
                 fleet_view.live,
                 fleet_view.rank,
                 if fleet_view.agreed {
--- a/src/control/saved_file.rs
+++ b/src/control/saved_file.rs
@@ -12,7 +12,7 @@
 /// The first words of a file: the file type and the version of its format.
 const FORMAT: &str = "sillward-kept 1";
 /// The longest file that is read, in bytes: 9,800 members take half of it.
-const LONGEST: u64 = 4 << 20;
+const MAX_FILE_BYTES: u64 = 4 << 20;
 
 /// Why a saved file can't be used.
 #[derive(Debug)]
@@ -61,8 +61,8 @@
         Err(e) => return Err(SavedFileError::Io(e)),
     };
     let mut data = Vec::new();
-    file.take(LONGEST + 1).read_to_end(&mut data).map_err(SavedFileError::Io)?;
-    if data.len() as u64 > LONGEST {
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut data).map_err(SavedFileError::Io)?;
+    if data.len() as u64 > MAX_FILE_BYTES {
         return Err(SavedFileError::Broken("it is longer than any saved file"));
     }
     let text = std::str::from_utf8(&data).map_err(|_| SavedFileError::Broken("it is not UTF-8 text"))?;
--- a/src/control/server_table/mod.rs
+++ b/src/control/server_table/mod.rs
@@ -50,7 +50,7 @@
 
 /// Upper bound on a node's memory for each listed server where a subset is held, in bytes: its entry here and
 /// in the discovery client, and its part of a list that is being applied, which is most of it.
-/// `what_a_subset_costs` (`tests/subset_node/costs.rs`) measures it.
+/// `measure_subset_costs` (`tests/subset_node/costs.rs`) measures it.
 pub const LISTED_SERVER_BYTES: usize = 512;
 
 /// The most servers of one cell that are held: as many as one server selection compares.
--- a/tests/subset_node/costs.rs
+++ b/tests/subset_node/costs.rs
@@ -32,10 +32,10 @@
 
 /// Not a test: measures a node that holds the whole list, and one that holds a subset of it. The variable
 /// `COSTS` gives other sizes, as `servers/tenants/routes`.
-/// `cargo test --release --test node what_a_subset_costs -- --ignored --nocapture`
+/// `cargo test --release --test node measure_subset_costs -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement"]
-fn what_a_subset_costs() {
+fn measure_subset_costs() {
     let sizes = std::env::var("COSTS").unwrap_or(format!("0/1/2 {SERVERS}/{TENANTS}/{ROUTES}"));
     for size in sizes.split(' ') {
         let size: Vec<usize> = size.split('/').map(|count| count.parse().expect("a count")).collect();
