--- a/crates/fleet/benches/size/main.rs
+++ b/crates/fleet/benches/size/main.rs
@@ -122,7 +122,7 @@
 
 fn main() {
     println!(
-        "| nodes | bytes a member | MB | tick, us | bare datagram, us | full datagram, us | tell, us | list, us | \
+        "| nodes | bytes a member | MB | tick, us | bare datagram, us | full datagram, us | agreement, us | list, us | \
          bytes/s out: quiet | day | storm | % of a core: quiet | day | storm |"
     );
     println!("|{}", " --- |".repeat(14));
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -1,10 +1,10 @@
 //! A node's local health, after Lifeguard's local health multiplier (Dadgar, Phillips, Currey 2017). A node
-//! that was stopped or starved of processor time scales its own time-outs up first, so that it waits longer
+//! that was stopped or starved of processor time scales its own timeouts up first, so that it waits longer
 //! before it declares others dead.
 
 use std::time::Duration;
 
-/// The worst score, and so the most by which time-outs grow (Lifeguard's S).
+/// The worst score, and so the most by which timeouts grow (Lifeguard's S).
 const MAX_SCORE: u32 = 8;
 /// The least score while the node's view still grows. It is half of the worst: delays of its own, of which a
 /// node that has just started has seen none yet, can still raise the score by as much again.
@@ -22,13 +22,13 @@
         self.score
     }
 
-    /// A time-out multiplied by the score plus one.
+    /// A timeout multiplied by the score plus one.
     pub fn scale_timeout(self, timeout: Duration) -> Duration {
         timeout * (1 + self.score)
     }
 
     /// Something ran `delay` later than it should have, since the node got no processor time: raises the
-    /// score by one for each started `unit`, the shortest time-out.
+    /// score by one for each started `unit`, the shortest timeout.
     pub fn record_delay(&mut self, delay: Duration, unit: Duration) {
         let units = delay.as_secs_f64() / unit.as_secs_f64().max(1e-9);
         self.score = (self.score + units.ceil().min(f64::from(MAX_SCORE)) as u32).min(MAX_SCORE);
--- a/crates/fleet/src/membership/mod.rs
+++ b/crates/fleet/src/membership/mod.rs
@@ -68,7 +68,7 @@
     /// For each sender: the start of its process, its replay window, and when its last datagram was received.
     senders: BTreeMap<Name, (u64, ReplayWindow, Duration)>,
     /// When each pending timer is due, with its id. Timers run on local time, which leaves out the time in
-    /// which this node could not run; else all time-outs of a stop would come due at its end.
+    /// which this node could not run; else all timeouts of a stop would come due at its end.
     due_times: BinaryHeap<Reverse<(Duration, u64)>>,
     /// The pending timers by id. Ids are in the order in which the timers were set.
     pending_timers: BTreeMap<u64, PendingTimer>,
--- a/crates/fleet/src/membership/send.rs
+++ b/crates/fleet/src/membership/send.rs
@@ -18,8 +18,8 @@
 pub(super) const KIND_PAGE: u8 = 4;
 /// The number of seeds that are contacted at a time.
 const SEEDS_PER_ATTEMPT: usize = 3;
-/// A node with members contacts seeds of which it knows no member in every tenth period: they may have been
-/// partitioned off.
+/// Once a node has members, it contacts the seeds at whose addresses it knows none in every tenth period
+/// only: they may be in another partition.
 const SEED_CONTACT_PERIODS: u64 = 10;
 
 impl Membership {
--- a/crates/fleet/src/membership/settings.rs
+++ b/crates/fleet/src/membership/settings.rs
@@ -34,7 +34,7 @@
     /// The greatest number of other members that are kept.
     pub max_members: usize,
     /// Whether to use the local health score (Lifeguard), and to contact a suspect directly before it is
-    /// declared dead. Without it, which is meant for comparison only, time-outs are constant and those of a
+    /// declared dead. Without it, which is meant for comparison only, timeouts are constant and those of a
     /// stop all come due at its end.
     pub local_health: bool,
 }
--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -209,7 +209,7 @@
         Config { known_list: None, ..self }
     }
 
-    /// Reads and parses the file, runs a further check, and compacts the schema that is kept.
+    /// Reads and parses the file, runs a further check, and compacts the shape that is kept.
     fn read(check: impl FnOnce(&mut Self) -> Result<(), ConfigError>) -> Result<Self, ConfigFileError> {
         let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or(ConfigFileError::NotNamed)?);
         let text = match std::fs::read_to_string(&path) {
@@ -221,7 +221,7 @@
             new.shape.compact();
             new
         });
-        compacted.map_err(|problem| ConfigFileError::Bad { path, problem })
+        compacted.map_err(|error| ConfigFileError::Invalid { path, error })
     }
 
     /// Reads and validates the file again for a node that runs with this configuration (live reload), and
@@ -262,13 +262,12 @@
             seed => u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Seed(seed.into()))?,
         };
         let settings_text = file.settings.get();
-        let mut site =
-            settings::parse(settings_text.as_bytes()).map_err(|problem| match &problem {
-                settings::SettingsError::Syntax(error) => ConfigError::InSettings(Box::new(
-                    ConfigError::syntax(text, text.find(settings_text).unwrap_or_default(), error),
-                )),
-                _ => problem.into(),
-            })?;
+        let mut site = settings::parse(settings_text.as_bytes()).map_err(|error| match &error {
+            settings::SettingsError::Syntax(json_error) => ConfigError::InSettings(Box::new(
+                ConfigError::syntax(text, text.find(settings_text).unwrap_or_default(), json_error),
+            )),
+            _ => error.into(),
+        })?;
         let zones = match file.zones {
             Some(zones) => Some(zones),
             None => object_from_env::<ZonesConfig>("SILLWARD_ZONES")?,
@@ -283,8 +282,8 @@
         for (key, names) in
             [("Classes", &site.class_names), ("Projects", &site.tenant_names), ("Localities", &zone_names)]
         {
-            if let Some(problem) = names.error() {
-                return Err(ConfigError::invalid_name(key, names, problem));
+            if let Some(error) = names.error() {
+                return Err(ConfigError::invalid_name(key, names, error));
             }
         }
         for (class, name) in site.settings.classes.iter().zip(site.class_names.iter()) {
--- a/src/control/config/error.rs
+++ b/src/control/config/error.rs
@@ -29,12 +29,12 @@
     #[error("bad configuration: the reading of the file broke off: {0}")]
     ReadAborted(String),
     /// The file's content is not a usable configuration.
-    #[error("bad configuration: {}: {}", one_line(path.display()), one_line(problem))]
-    Bad {
+    #[error("bad configuration: {}: {}", one_line(path.display()), one_line(error))]
+    Invalid {
         /// The file.
         path: PathBuf,
         /// What is wrong with the content.
-        problem: ConfigError,
+        error: ConfigError,
     },
 }
 
@@ -148,11 +148,11 @@
 
 impl ConfigError {
     /// The error for an invalid name below a key. Lists the first names, and how many more there are.
-    pub(super) fn invalid_name(key: &'static str, names: &NameTable, problem: NameError) -> Self {
+    pub(super) fn invalid_name(key: &'static str, names: &NameTable, error: NameError) -> Self {
         let shown: Vec<_> = names.iter().take(NAMES_SHOWN).collect();
         let rest = names.len() - shown.len();
         let rest = if rest > 0 { format!(" and {rest} more") } else { String::new() };
-        let which = match problem {
+        let which = match error {
             NameError::Empty { index } => format!("the one at {index} is empty"),
             NameError::Duplicate { first, second } => {
                 format!("{:?} at {first} and {second}", names.get(second).unwrap_or_default())
--- a/src/control/config/key_shape.rs
+++ b/src/control/config/key_shape.rs
@@ -1,6 +1,6 @@
-//! Schema comparison for a live reload: which keys a configuration has, without their values. The keys of the
-//! running configuration are kept, because a new file that lacks some of them was probably written or copied
-//! only in part.
+//! Comparison of two configurations' shapes at a live reload: which keys they have, without the values. The
+//! keys of the running configuration are kept, because a new file that lacks some of them was probably
+//! written or copied only in part.
 
 use super::ConfigError;
 use serde::de::{MapAccess, SeqAccess, Visitor};
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// The schema of a JSON value: its keys, without the values. Its size grows with the number of different
-/// schemas among the elements of an array, not with the number of elements.
+/// The shape of a JSON value: its keys, without the values. Its size grows with the number of different
+/// shapes among the elements of an array, not with the number of elements.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Shape {
     /// `null`, which may be left out.
@@ -18,7 +18,7 @@
     Scalar,
     /// An object, by its keys.
     Object(BTreeMap<Box<str>, Shape>),
-    /// An array: the different schemas of its elements, each with the index of the first element that has it,
+    /// An array: the different shapes of its elements, each with the index of the first element that has it,
     /// in order of that index.
     Array(Vec<(usize, Shape)>),
 }
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Reduces each array to the one schema that a later array's elements are compared with: the keys that
+    /// Reduces each array to the one shape that a later array's elements are compared with: the keys that
     /// all its elements have.
     pub(super) fn compact(&mut self) {
         match self {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The schema that all elements of an array share: the first element's, without the keys that another lacks.
+/// The shape that all elements of an array share: the first element's, without the keys that another lacks.
 fn shared_keys(elements: &[(usize, Shape)]) -> Option<Shape> {
     let ((_, first), rest) = elements.split_first()?;
     let mut shared = first.clone();
--- a/src/control/config/tests.rs
+++ b/src/control/config/tests.rs
@@ -1,4 +1,4 @@
-//! Configuration validation, the error messages, and the schema comparison at a live reload.
+//! Configuration validation, the error messages, and the comparison of keys at a live reload.
 
 use super::*;
 use proptest::collection::{hash_map, vec};
@@ -110,8 +110,8 @@
     ];
     for (old, new, expected) in cases {
         assert!(RUNNING.contains(old), "{old}");
-        let problem = reloaded(&RUNNING.replacen(old, new, 1)).expect_err(new);
-        let message = ConfigFileError::Bad { path: "n0.json".into(), problem }.to_string();
+        let error = reloaded(&RUNNING.replacen(old, new, 1)).expect_err(new);
+        let message = ConfigFileError::Invalid { path: "n0.json".into(), error }.to_string();
         assert!(
             message.starts_with("bad configuration: n0.json: ") && message.contains(expected),
             "{new}: {message}"
@@ -230,13 +230,13 @@
     #![proptest_config(ProptestConfig { cases: 4000, failure_persistence: None, rng_seed: RngSeed::Fixed(20_261_202), ..ProptestConfig::default() })]
 
     #[test]
-    fn comparing_schemas_finds_the_same_missing_key_as_comparing_values(running in any_json(), new in any_json()) {
+    fn comparing_shapes_finds_the_same_missing_key_as_comparing_values(running in any_json(), new in any_json()) {
         let shape_of = |value: &Value| serde_json::from_str::<Shape>(&value.to_string()).expect("JSON");
         let expected = missing_key_by_values(&running, &new, "");
         let (mut compacted, read) = (shape_of(&running), shape_of(&new));
-        prop_assert_eq!(missing_key(&compacted, &read, "").map(|problem| problem.to_string()), expected.clone());
+        prop_assert_eq!(missing_key(&compacted, &read, "").map(|error| error.to_string()), expected.clone());
         compacted.compact();
-        prop_assert_eq!(missing_key(&compacted, &read, "").map(|problem| problem.to_string()), expected);
+        prop_assert_eq!(missing_key(&compacted, &read, "").map(|error| error.to_string()), expected);
     }
 }
 
@@ -256,6 +256,6 @@
     };
     assert_eq!(peers(4_900).expect("the planned size"), 4_900);
     assert_eq!(peers(MAX_PEERS).expect("the bound"), 9_800);
-    let problem = peers(MAX_PEERS + 1).expect_err("too many").to_string();
-    assert!(problem.contains("9801 peers") && problem.contains("9800 at most"), "{problem}");
+    let error = peers(MAX_PEERS + 1).expect_err("too many").to_string();
+    assert!(error.contains("9801 peers") && error.contains("9800 at most"), "{error}");
 }
--- a/src/control/discovery/apply.rs
+++ b/src/control/discovery/apply.rs
@@ -98,7 +98,7 @@
             self.held.retain_certain(&mut backends);
             let kept = backends.len();
             log(format_args!(
-                "an older list was refused: version {index} after {held}, {kept} of {total} taken"
+                "an older list was refused: version {index} after {held}, {kept} of {total} entries applied"
             ));
             if kept > 0 {
                 self.send_and_record(ListKind::Changes, backends).await;
--- a/src/control/discovery/chunks.rs
+++ b/src/control/discovery/chunks.rs
@@ -74,7 +74,7 @@
     pub fn summary(&self) -> Option<String> {
         let StaleList { index, held } = self.stale?;
         Some(format!(
-            "an older list was refused: version {index} after {held}, {} of {} taken",
+            "an older list was refused: version {index} after {held}, {} of {} entries applied",
             self.sent, self.total
         ))
     }
--- a/src/control/discovery/framing.rs
+++ b/src/control/discovery/framing.rs
@@ -108,17 +108,17 @@
     pub fn feed(&mut self, mut bytes: &[u8]) -> Result<FeedOutput, WatchError> {
         let mut output = FeedOutput::default();
         while !bytes.is_empty() {
-            let taken = if self.incremental.is_some() {
+            let consumed = if self.incremental.is_some() {
                 self.feed_incremental(bytes, &mut output)?
             } else {
-                let taken = bytes.len().min(MAX_SHORT_LIST_BYTES);
-                self.scan_short(&bytes[..taken], &mut output)?;
+                let consumed = bytes.len().min(MAX_SHORT_LIST_BYTES);
+                self.scan_short(&bytes[..consumed], &mut output)?;
                 if self.buffer.len() > MAX_SHORT_LIST_BYTES {
                     self.switch_to_incremental(&mut output)?;
                 }
-                taken
+                consumed
             };
-            bytes = &bytes[taken..];
+            bytes = &bytes[consumed..];
         }
         Ok(output)
     }
@@ -174,18 +174,18 @@
             self.max_servers,
             MAX_SHORT_LIST_BYTES,
         )));
-        let taken = self.feed_incremental(&start, output)?;
+        let consumed = self.feed_incremental(&start, output)?;
         // If the value ends within the buffer, its end had not been found; usually only a few bytes follow
         // it.
-        self.scan_short(&start[taken..], output)
+        self.scan_short(&start[consumed..], output)
     }
 
     /// Feeds the incremental parser; returns how many of the bytes belong to the long value.
     fn feed_incremental(&mut self, bytes: &[u8], output: &mut FeedOutput) -> Result<usize, WatchError> {
         let Some(parser) = &mut self.incremental else { return Ok(0) };
-        let (taken, end) = parser.feed(bytes)?;
-        output.active |= !bytes[..taken].iter().copied().all(is_json_whitespace);
-        let Some(end) = end else { return Ok(taken) };
+        let (consumed, end) = parser.feed(bytes)?;
+        output.active |= !bytes[..consumed].iter().copied().all(is_json_whitespace);
+        let Some(end) = end else { return Ok(consumed) };
         self.incremental = None;
         match end {
             ParseEnd::List(list) => self.emit(ListValue::Long(Box::new(list)), &mut output.values),
@@ -198,7 +198,7 @@
                 self.emit(ListValue::Text(text.into()), &mut output.values);
             }
         }
-        Ok(taken)
+        Ok(consumed)
     }
 
     fn emit(&mut self, value: ListValue, values: &mut Vec<Result<ListValue, String>>) {
--- a/src/control/discovery/tests.rs
+++ b/src/control/discovery/tests.rs
@@ -178,7 +178,7 @@
                         let cut =
                             partial.find(if case == 2 { ",\"zone" } else { "one\":" }).expect("a position");
                         connection.write(&partial[..cut]).await;
-                        // Often enough for a client that took any byte as a sign of life.
+                        // Often enough to keep the watch alive if the client counted any byte as activity.
                         for _ in 0..3 {
                             sleep(Duration::from_millis(800)).await;
                             connection.write("\n").await;
@@ -344,9 +344,9 @@
                 assert!(delay < Duration::from_secs(6), "{failures:?}, {grace:?}, {mode}: {delay:?}");
                 // The rate of connections stays bounded meanwhile.
                 let refused = harness.refused.borrow().len();
-                let most = if mode.is_empty() { 20 } else { 2 };
+                let max_per_s = if mode.is_empty() { 20 } else { 2 };
                 assert!(
-                    refused as f64 <= 8.0 + f64::from(most) * recovery.as_secs_f64(),
+                    refused as f64 <= 8.0 + f64::from(max_per_s) * recovery.as_secs_f64(),
                     "{failures:?}: {refused}"
                 );
             });
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -161,7 +161,7 @@
             }
             bound = match self.bind().await {
                 Ok(socket) => socket,
-                Err(problem) => return log(problem),
+                Err(error) => return log(error),
             };
         };
         self.port = socket.local_addr().map(|address| address.port()).unwrap_or_default();
@@ -196,7 +196,7 @@
         let identity = Identity {
             name: self.name,
             // Later than the previous start, even if the clock was set back since.
-            started_ms: (unix.as_millis() as u64).max(self.saved.saved.started_ms.saturating_add(1)),
+            started_ms: (unix.as_millis() as u64).max(self.saved.content.started_ms.saturating_add(1)),
             renewed: 0,
             address,
             zone: self.zone,
@@ -211,7 +211,7 @@
             max_members: MAX_PEERS,
             local_health: true,
         };
-        let saved = self.saved.saved.members.iter().map(|(_, address)| *address);
+        let saved = self.saved.content.members.iter().map(|(_, address)| *address);
         let seeds = self.addresses.seeds(self.fleet.advertise.is_some(), saved);
         let seed = self.random.next_u64();
         let core = Membership::new(identity, settings, seeds, seed, Duration::ZERO);
--- a/src/control/peers/tests.rs
+++ b/src/control/peers/tests.rs
@@ -1,7 +1,7 @@
 //! Membership drivers without the rest of a node: several in one thread, over UDP; seed addresses and
 //! persisted peers.
 
-use super::saved_members::Saved;
+use super::saved_members::SavedContent;
 use super::*;
 use crate::control::process::NoSiblings;
 use std::hint::black_box;
@@ -27,14 +27,14 @@
     Config::parse(&text).expect("a configuration")
 }
 
-const ANY: &str = "127.0.0.1:0";
+const ANY_PORT: &str = "127.0.0.1:0";
 const ADVERTISED: &str = r#""advertise": "127.0.0.1:0""#;
 
 /// Starts a driver that other nodes identify by its address, and returns that address.
 async fn start_driver(node: usize, peers: &[SocketAddr]) -> (Owner, SocketAddr) {
     let (messages, fleet_views) = mpsc::channel(64);
     let (state, process) = watch::channel(ProcessState::Active);
-    let config = config(node, ANY.parse().expect("an address"), peers, ADVERTISED);
+    let config = config(node, ANY_PORT.parse().expect("an address"), peers, ADVERTISED);
     let driver =
         MembershipDriver::new(&config, MembershipView::default(), messages, process, Rc::new(NoSiblings));
     let driver = driver.expect("a good configuration").expect("a fleet");
@@ -84,15 +84,15 @@
 fn an_address_in_use_is_named_in_the_error() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
-        let other = UdpSocket::bind(ANY).await.expect("a socket");
+        let other = UdpSocket::bind(ANY_PORT).await.expect("a socket");
         let in_use = other.local_addr().expect("an address");
         let (messages, _fleet_views) = mpsc::channel::<FleetView>(1);
         let (_state, process) = watch::channel(ProcessState::Active);
         let config = config(0, in_use, &[], ADVERTISED);
         let driver =
             MembershipDriver::new(&config, MembershipView::default(), messages, process, Rc::new(NoSiblings));
-        let problem = driver.expect("good").expect("a fleet").bind().await.expect_err("an address in use");
-        let text = problem.to_string();
+        let error = driver.expect("good").expect("a fleet").bind().await.expect_err("an address in use");
+        let text = error.to_string();
         assert!(text.contains(&in_use.to_string()) && text.contains("change peer_listen"), "{text}");
     });
 }
@@ -101,7 +101,7 @@
 #[test]
 fn members_saved_by_an_earlier_version_are_read_and_written_unchanged() {
     let text = r#"{"started_ms":7,"members":[["n1",{"Seat":3}],["n2",{"Socket":"10.0.0.4:7946"}]]}"#;
-    let saved: Saved = serde_json::from_str(text).expect("a list");
+    let saved: SavedContent = serde_json::from_str(text).expect("a list");
     assert_eq!(saved.members[0].1, Address::Node(3));
     assert_eq!(serde_json::to_string(&saved).expect("a text"), text);
 }
@@ -210,7 +210,7 @@
             }
         }
         (0..5).for_each(|_| saved.save(&first));
-        assert_eq!((saved.list_count, saved.saved.members.len()), (2, 1));
+        assert_eq!((saved.list_count, saved.content.members.len()), (2, 1));
     });
     drop(runtime); // waits for the write in progress
     std::fs::remove_dir_all(&folder).expect("its own folder");
--- a/src/control/server_table/tests.rs
+++ b/src/control/server_table/tests.rs
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_failed_call_for_the_list_is_passed_on_unchanged() {
+fn a_failed_fetch_is_passed_on_unchanged() {
     let layout = layout(0, 1);
     let (mut table, _) = table_with(layout, 300);
     let update = table.apply(list_update(ListKind::Failed, Vec::new()), layout);
@@ -281,7 +281,9 @@
         if layout.whole_cells {
             let ready = self.0.values().filter(|backend| backend.entry.state == ServerState::Ready);
             let cells: BTreeSet<_> = subset.iter().map(|id| self.0[id].entry.cell).collect();
-            subset.extend(ready.filter(|it| cells.contains(&it.entry.cell)).map(|it| it.entry.id));
+            subset.extend(
+                ready.filter(|backend| cells.contains(&backend.entry.cell)).map(|backend| backend.entry.id),
+            );
         }
         subset
     }
--- a/tests/subset_node/costs.rs
+++ b/tests/subset_node/costs.rs
@@ -39,7 +39,7 @@
     let sizes = std::env::var("COSTS").unwrap_or(format!("0/1/2 {SERVERS}/{TENANTS}/{ROUTES}"));
     for size in sizes.split(' ') {
         let size: Vec<usize> = size.split('/').map(|count| count.parse().expect("a count")).collect();
-        for held in [Held::All, Held::Part, Held::PartWithCells] {
+        for held in [Held::All, Held::Subset, Held::SubsetWithCells] {
             measure((size[0], size[1], size[2]), held);
         }
     }
@@ -51,9 +51,9 @@
     /// The whole list.
     All,
     /// A subset.
-    Part,
+    Subset,
     /// A subset, and the whole cells of its servers, with four servers in each cell.
-    PartWithCells,
+    SubsetWithCells,
 }
 
 /// Starts a node with a list of so many servers, and prints what it uses at rest and as the list changes.
@@ -67,7 +67,7 @@
     if held != Held::All {
         config = config.replacen('{', r#"{"subset":{"servers":256},"#, 1);
     }
-    if held == Held::PartWithCells {
+    if held == Held::SubsetWithCells {
         config = config.replace(r#""Group":"zone""#, r#""Group":"cell""#);
     }
     let start = Instant::now();
