--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -2,16 +2,19 @@
 
 /// The token of the server list's timer; a request's timers carry its id.
 pub(super) const LIST_TIMER: u64 = u64::MAX;
-/// The share of the service that probes may cost, and connections too: little beside the cost of blind sends.
+/// The share of the service that probes may cost; the same holds for connections. It is small beside the loss
+/// from sending to servers of unknown load.
 pub(super) const COST_BUDGET: f64 = 0.01;
-/// Retry budget: further attempts as a share of first attempts, at the usual size of such a budget.
+/// Retry budget: retries as a share of first attempts. This is a usual size of retry budgets.
 pub(super) const RETRY_BUDGET_RATIO: f64 = 0.4;
-/// Attempts timed out before the deadline, as a share of timely answers. They are limited because a server
-/// may go on with the abandoned work beside that of the next attempt.
+/// Attempts that may time out before the deadline, as a share of answers in time. They are limited because a
+/// server may continue the abandoned work while another one works on the retry.
 pub(super) const EARLY_TIMEOUT_RATIO: f64 = 1.0 / 64.0;
-/// The most early time-outs saved up: for a few servers that hang at once, until their failure rates show it.
+/// The most early time-outs that can be saved up. They suffice for a few servers that hang at the same time,
+/// until these are ejected for their failure rates.
 pub(super) const MAX_EARLY_TIMEOUTS: f64 = 4.0;
 /// Weight of one observation in a smoothed value: the last handful of observations decide.
 pub(super) const SMOOTHING: f64 = 1.0 / 8.0;
-/// Load above this many requests is treated alike, and no more servers than this are compared.
+/// The number of load levels that are told apart, from 0 requests at a server; higher loads count as the
+/// highest level. Also the most servers that are compared for one request.
 pub(super) const LOAD_LEVELS: usize = 64;
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -6,7 +6,8 @@
 use crate::state::{Attempt, Balancer, Request, Server};
 use std::time::Duration;
 
-/// While a streamed body arrives its attempt has no time-out of this module: the node checks that bytes come.
+/// The time-out of an attempt whose streamed body still arrives. It is long enough never to apply: the
+/// node itself checks that bytes keep arriving.
 const UPLOAD_TIMEOUT: Duration = Duration::from_secs(86_400);
 
 impl Balancer {
@@ -16,15 +17,16 @@
         self.draw_cold_permits();
         let zone_draw = if self.settings.zones.is_some() { self.random() } else { 0.0 };
         let Some(request) = self.requests.get(&id).filter(|r| !r.done && self.may_send(r)) else { return };
-        // With zones, the next one is tried when no server of a zone may answer in time.
+        // Where zones are configured, the next zone is tried if no server of a zone admits the request.
         let (chance, mut choice, mut saturated) = (admission_draw.powf(request.value), None, Vec::new());
         for (zone, permitted) in self.candidates(request, zone_draw, admission_draw) {
             let (healthy, admitted) =
                 self.admit(request, permitted, (self.is_trial(request, zone, admission_draw), chance));
-            let none = admitted.is_empty();
-            saturated.extend(zone.filter(|_| none));
-            choice = if none { choice.or(Some((healthy, admitted))) } else { Some((healthy, admitted)) };
-            if !none {
+            let none_admitted = admitted.is_empty();
+            saturated.extend(zone.filter(|_| none_admitted));
+            choice =
+                if none_admitted { choice.or(Some((healthy, admitted))) } else { Some((healthy, admitted)) };
+            if !none_admitted {
                 break;
             }
         }
@@ -36,31 +38,38 @@
             return self.refuse_or_fail(id, actions);
         }
         let Some((healthy, admitted)) = choice else {
-            // No server is listed, or only cold ones without a permit: wait a while.
+            // No server is listed, or none that this request may be sent to, such as cold ones without a
+            // permit: try again after a short wait.
             let after = Duration::from_secs_f64(self.answer_time_s / 8.0).max(self.settings.timer_resolution);
             return actions.push(Action::SetTimer { after, token: id.0 });
         };
-        let (below, any) = (self.lowest_below_cap(&admitted, draw), random_server(&admitted, draw));
-        let ask = below.is_none() && !request.probes_done && !self.awaiting_probes.contains(&id);
-        let unknown = |s: &&&Server| ask && !s.probing && self.probed_load(s).is_none();
-        let unknown: Vec<_> = healthy.iter().filter(unknown).map(|s| s.entry.id).collect();
+        let (below_cap, random_choice) =
+            (self.lowest_below_cap(&admitted, draw), random_server(&admitted, draw));
+        let may_probe = below_cap.is_none() && !request.probes_done && !self.awaiting_probes.contains(&id);
+        let load_unknown = |s: &&&Server| may_probe && !s.probing && self.probed_load(s).is_none();
+        let to_probe: Vec<_> = healthy.iter().filter(load_unknown).map(|s| s.entry.id).collect();
         saturated.iter().for_each(|zone| self.record_zone_saturated(*zone));
-        // The lowest queue estimate below m, or a probe for one, or a random server where all have reached m.
-        match below {
+        // The server with the lowest queue estimate below m; else probes, to find an idle server; else, where
+        // all have reached m, a random server.
+        match below_cap {
             Some(server) => self.send(id, server, actions),
-            None if self.awaiting_probes.contains(&id) || ask && self.probe(id, unknown, actions) => {}
-            None if any.is_some() => any.into_iter().for_each(|server| self.send(id, server, actions)),
+            None if self.awaiting_probes.contains(&id) || may_probe && self.probe(id, to_probe, actions) => {}
+            None if random_choice.is_some() => {
+                random_choice.into_iter().for_each(|server| self.send(id, server, actions))
+            }
             // Load shedding: no server is likely to answer in time.
             None => self.refuse_or_fail(id, actions),
         }
     }
 
-    /// Whether a request may try an ejected server: one in eight, as trials would take most of a quiet node's
-    /// requests, and fewer that can't be retried. In a zone with trials only, all that can be retried may.
+    /// Whether a request may be sent to an ejected server as a trial. One request in eight may, because
+    /// trials would otherwise take most requests of a node with little traffic, and one in 32 of those that
+    /// can't be retried. In a zone that gets requests for trials only, all that can be retried may.
     pub(super) fn is_trial(&self, request: &Request, zone: Option<u8>, draw: f64) -> bool {
-        let once = request.policy.class.retry_safety == RetrySafety::NonIdempotent;
+        let non_idempotent = request.policy.class.retry_safety == RetrySafety::NonIdempotent;
         request.attempts.is_empty()
-            && (draw * if once { 4.0 } else { 1.0 } < SMOOTHING || self.trials_only(zone) && !once)
+            && (draw * if non_idempotent { 4.0 } else { 1.0 } < SMOOTHING
+                || self.trials_only(zone) && !non_idempotent)
     }
 
     /// Whether an ejected server may be tried again.
@@ -68,14 +77,16 @@
         server.ejected_until.is_some_and(|until| self.now >= until && server.in_flight == 0)
     }
 
-    /// Of the permitted servers of a partition: the healthy ones, and those of them that admit the request.
+    /// Of the permitted servers of a partition (a zone, or the whole ring): the healthy ones, and those of
+    /// them that admit the request and have no more load than the average.
     fn admit<'a>(
         &self,
         request: &Request,
         permitted: Vec<&'a Server>,
         (trial, chance): (bool, f64),
     ) -> (Vec<&'a Server>, Vec<&'a Server>) {
-        // Health is no hard rule: where no server is healthy all are used.
+        // A trial goes to a server that is due for one. Where no server is healthy, all permitted ones are
+        // used.
         let due: Vec<_> = permitted.iter().copied().filter(|s| trial && self.due_for_trial(s)).collect();
         let healthy = |s: &&Server| s.ejected_until.is_none() && !self.broken_for(s, request.class);
         let healthy = collect_servers(permitted.iter().copied().filter(|s| due.is_empty() && healthy(s)));
@@ -95,32 +106,40 @@
         if !open || !attempts_left || !self.permitted(server, request) {
             return self.refuse_or_fail(id, actions);
         }
-        // The server may stay silent: where there may be another attempt, time is left for it.
+        // In case the server does not answer, time is left for another attempt where one is possible.
         let (time_left, silent_after) = (request.expires - now, self.silence_timeout(request));
         let (receiving, streamed) = (request.receiving.is_some(), request.streamed_body);
         let last = request.attempts.len() as u32 + 1 >= request.policy.max_attempts;
-        let another = !last
+        let another_possible = !last
             && request.policy.class.retry_safety != RetrySafety::NonIdempotent
             && !streamed
             && time_left > silent_after * 5 / 4
             && self.retry_tokens >= if retry { 2.0 } else { 1.0 };
         let hedged = self.settings.limits.hedging;
-        // A server may go on with an abandoned attempt unseen. Where that is frequent, attempts get all time.
-        let ends_early = another && !hedged && self.early_timeouts >= 1.0;
+        // A server may continue the work of an abandoned attempt. So once the tokens for early time-outs are
+        // used up, attempts get all the time that is left.
+        let ends_early = another_possible && !hedged && self.early_timeout_tokens >= 1.0;
         let timeout = if ends_early { silent_after } else { time_left };
         let timeout = if receiving { UPLOAD_TIMEOUT } else { timeout };
-        if another && hedged {
+        if another_possible && hedged {
             actions.push(Action::SetTimer { after: silent_after, token: id.0 });
         }
-        let level = (self.load_of(server).round() as usize).min(LOAD_LEVELS - 1);
-        let attempt = Attempt { server: server.entry, sent: now, level, counted: !receiving, outcome: None };
-        self.requests.entry(id).and_modify(|r| {
-            (r.probes_done, r.expires) = (true, if receiving { now + UPLOAD_TIMEOUT } else { r.expires });
-            r.attempts.push(attempt);
+        let load_level = (self.load_of(server).round() as usize).min(LOAD_LEVELS - 1);
+        let attempt = Attempt {
+            server: server.entry,
+            sent: now,
+            load_level,
+            counts_as_load: !receiving,
+            outcome: None,
+        };
+        self.requests.entry(id).and_modify(|request| {
+            (request.probes_done, request.expires) =
+                (true, if receiving { now + UPLOAD_TIMEOUT } else { request.expires });
+            request.attempts.push(attempt);
         });
-        if let Some(s) = self.servers.get_mut(&to) {
-            (s.permit_until, s.estimate) = (Duration::ZERO, s.estimate + 1);
-            s.attempt_started(!receiving);
+        if let Some(server) = self.servers.get_mut(&to) {
+            (server.permit_until, server.queue_estimate) = (Duration::ZERO, server.queue_estimate + 1);
+            server.attempt_started(!receiving);
         }
         actions.push(Action::Send { id, server: to, timeout });
         self.retry_tokens -= if retry { 1.0 } else { 0.0 };
--- a/src/policy/fleet_view.rs
+++ b/src/policy/fleet_view.rs
@@ -1,10 +1,12 @@
-//! How many nodes share the work, and this one's place among them: by the fleet view, else by the settings.
+//! How many nodes share the work, and the rank of this one among them: by the fleet view or, without one, by
+//! the settings.
 
 use crate::state::Balancer;
 
 impl Balancer {
-    /// The number of nodes among which shared budgets are divided. Nodes that don't agree on who is alive
-    /// count all that could be: then their parts never add up to more than the whole, whichever is right.
+    /// The number of nodes among which shared budgets are divided. Nodes that don't agree on which nodes are
+    /// alive count all that could be: then their parts never add up to more than the whole, whichever of
+    /// their views is right.
     pub(super) fn node_count(&self) -> u32 {
         let configured = self.settings.nodes.max(1);
         match self.fleet_view {
@@ -14,7 +16,8 @@
         }
     }
 
-    /// This node's place on the ring, and of how many. Without agreement each keeps its configured one.
+    /// This node's rank on the ring, and the number of nodes. Without agreement each keeps its configured
+    /// rank.
     pub(super) fn ring_place(&self) -> (usize, usize) {
         let configured = (self.settings.node as usize, self.settings.nodes.max(1) as usize);
         let agreed = self.fleet_view.filter(|view| view.agreed && view.rank < view.live);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,5 +1,14 @@
 //! All decisions of a node, one file for each concern. Types, events and actions are in `src/interface.rs`,
 //! the remembered state in `src/state.rs`. `README.md` lists the departures from the paper on Join-Up-To(m).
+//!
+//! Comments and tests refer to four rules, which no decision may break:
+//!
+//! 1. Each request gets exactly one final answer, before its client gives up.
+//! 2. A request that may have run is retried, or refused as harmless to retry, only as the
+//!    [`RetrySafety`] of its class allows.
+//! 3. A server that drains or is gone gets no request after [`Rules::drain_grace`].
+//! 4. A cold server gets at most [`Rules::overload_factor`] times its present capacity over any
+//!    [`Rules::overload_time`], from all nodes together.
 
 mod constants;
 mod dispatch;
@@ -26,7 +35,7 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let target = settings.classes.iter().map(|c| c.latency_target).min().unwrap_or_default();
         let mut balancer = Balancer::empty(settings, Pcg32::seed_from_u64(seed));
-        (balancer.answer_time_s, balancer.median) = (target.as_secs_f64() / 2.0, target / 4);
+        (balancer.answer_time_s, balancer.median_answer_time) = (target.as_secs_f64() / 2.0, target / 4);
         (balancer.recent_sends, balancer.recent_idle_reports, balancer.busy_share) = (1.0, 1.0, 0.5);
         (balancer.in_time_by_load, balancer.admission, balancer.retry_tokens) =
             (vec![0.25; LOAD_LEVELS], 2.0, 1.0 / RETRY_BUDGET_RATIO);
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -7,16 +7,20 @@
 
 impl Balancer {
     pub(super) fn on_request(&mut self, new: NewRequest, actions: &mut Vec<Action>) {
-        let idx = Some(new.class).filter(|class| *class < self.settings.classes.len());
-        let class = &self.settings.classes[idx.unwrap_or_default()];
+        let class_index = Some(new.class).filter(|class| *class < self.settings.classes.len());
+        let class = &self.settings.classes[class_index.unwrap_or_default()];
         let max_attempts = self.settings.limits.max_attempts;
         let policy =
             new.policy.clone().unwrap_or_else(|| RequestPolicy { class: class.clone(), max_attempts });
         let class = &policy.class;
-        // Its time starts with its body's last byte, but it waits no longer for a server than another would.
+        // The time of a request with a streamed body starts with the last byte, but until then it waits no
+        // longer for a server than any other request.
         let receiving = new.body_streaming.then(|| new.clone());
-        let expires =
-            if new.body_streaming { self.now + class.latency_target } else { self.expiry(&new, idx, class) };
+        let expires = if new.body_streaming {
+            self.now + class.latency_target
+        } else {
+            self.expiry(&new, class_index, class)
+        };
         let cost = self.relative_cost(new.cost);
         self.arrived_work.add(self.now, self.rate_window(), cost);
         self.retry_tokens = (self.retry_tokens + RETRY_BUDGET_RATIO).min(2.0 / RETRY_BUDGET_RATIO);
@@ -24,13 +28,14 @@
         self.probe_tokens = (self.probe_tokens + earned).min(self.ready_count() as f64);
         let (value, probes_done) = (self.relative_value(class.value, new.tenant), !self.uses_probes());
         let streamed_body = new.body_streaming;
-        let request = Request { class: idx, policy, cost, value, expires, probes_done, ..Request::default() };
+        let request =
+            Request { class: class_index, policy, cost, value, expires, probes_done, ..Request::default() };
         let request = Request { streamed_body, receiving, ..request };
         self.requests.insert(new.id, request);
-        // Admission control: refuses work that even a free server can't do in time. Hints of work are
-        // inexact: while most servers are idle, up to twice that is tried.
-        let longest = expires.saturating_sub(self.now) * if self.busy_share < 0.5 { 2 } else { 1 };
-        if new.cost.unwrap_or_default() >= longest {
+        // Admission control: refuses work that even an idle server can't do in time. The expected work is
+        // only an estimate, so while most servers are idle up to twice as much is admitted.
+        let max_cost = expires.saturating_sub(self.now) * if self.busy_share < 0.5 { 2 } else { 1 };
+        if new.cost.unwrap_or_default() >= max_cost {
             return self.refuse_or_fail(new.id, actions);
         }
         actions.push(Action::SetTimer { after: expires - self.now, token: new.id.0 });
@@ -38,27 +43,31 @@
     }
 
     /// When a request that has just been received expires: an answer after that has no value.
-    pub(super) fn expiry(&mut self, new: &NewRequest, idx: Option<usize>, class: &Class) -> Duration {
-        // The timer may be late by its resolution, and the answer must be there before the client leaves.
+    pub(super) fn expiry(&mut self, new: &NewRequest, class_index: Option<usize>, class: &Class) -> Duration {
+        // The timer may be late by its resolution, and the answer must arrive before the client disconnects.
         let deadline = self.now + new.remaining.saturating_sub(2 * self.settings.timer_resolution);
         let extra = new.cost.unwrap_or_default().mul_f64(class.target_stretch.clamp(0.0, 1e3));
-        let target =
-            (self.now + class.latency_target + extra).saturating_sub(self.waited(new, idx, class.deadline));
+        let target = (self.now + class.latency_target + extra).saturating_sub(self.prior_wait(
+            new,
+            class_index,
+            class.deadline,
+        ));
         if class.late_value > 0.0 { deadline } else { deadline.min(target) }
     }
 
-    /// The last byte of a streamed body has come: the request's time starts, and so does that of its attempt.
+    /// The last byte of a streamed body has arrived: the request's time starts, and so does that of its
+    /// attempt.
     pub(super) fn on_body_received(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let (now, request) = (self.now, self.requests.get_mut(&id));
         let Some((request, new)) = request.and_then(|r| r.receiving.take().map(|new| (r, new))) else {
             return;
         };
         for attempt in request.attempts.iter_mut().filter(|a| a.outcome.is_none()) {
-            (attempt.sent, attempt.counted) = (now, true);
+            (attempt.sent, attempt.counts_as_load) = (now, true);
             self.servers.get_mut(&attempt.server.id).into_iter().for_each(|s| s.attempt_started(true));
         }
-        let (idx, class) = (request.class, request.policy.class.clone());
-        let expires = self.expiry(&new, idx, &class);
+        let (class_index, class) = (request.class, request.policy.class.clone());
+        let expires = self.expiry(&new, class_index, &class);
         self.requests.entry(id).and_modify(|r| r.expires = expires);
         actions.push(Action::SetTimer { after: expires.saturating_sub(now), token: id.0 });
     }
@@ -69,11 +78,11 @@
         request.answer_started = true;
         if let Some(started) = request.attempts.get_mut(attempt as usize) {
             // The server's work is done; the rest is data transfer.
-            let n = u32::from(std::mem::take(&mut started.counted));
+            let freed = u32::from(std::mem::take(&mut started.counts_as_load));
             self.servers
                 .get_mut(&started.server.id)
                 .into_iter()
-                .for_each(|s| s.in_flight -= n.min(s.in_flight));
+                .for_each(|server| server.in_flight -= freed.min(server.in_flight));
         }
         let others = request.attempts.iter().zip(0..).filter(|(a, i)| a.outcome.is_none() && *i != attempt);
         if self.settings.limits.cancel {
@@ -81,16 +90,22 @@
         }
     }
 
-    /// How long the client has waited already, as far as that shows: a client retry with another time than a
-    /// first try has the rest of its deadline. Work past its latency target would only prolong an overload.
-    pub(super) fn waited(&mut self, new: &NewRequest, idx: Option<usize>, deadline: Duration) -> Duration {
-        let Some(patience) = idx.and_then(|class| self.first_try_patience.get_mut(class)) else {
+    /// How long the client has waited before this request, as far as it can be known. A client retry whose
+    /// remaining time differs from that of a first try has the rest of the deadline. Work past the latency
+    /// target would only prolong an overload.
+    pub(super) fn prior_wait(
+        &mut self,
+        new: &NewRequest,
+        class_index: Option<usize>,
+        deadline: Duration,
+    ) -> Duration {
+        let Some(usual_wait) = class_index.and_then(|class| self.first_try_wait.get_mut(class)) else {
             return Duration::ZERO;
         };
-        let first_try = if new.client_retry { *patience } else { new.remaining };
-        *patience = first_try;
-        let like_first = new.remaining.abs_diff(first_try) < first_try / 64;
-        if like_first { Duration::ZERO } else { deadline.saturating_sub(new.remaining) }
+        let first_try = if new.client_retry { *usual_wait } else { new.remaining };
+        *usual_wait = first_try;
+        let is_like_first_try = new.remaining.abs_diff(first_try) < first_try / 64;
+        if is_like_first_try { Duration::ZERO } else { deadline.saturating_sub(new.remaining) }
     }
 
     pub(super) fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
@@ -121,7 +136,8 @@
         self.close(id, actions);
     }
 
-    /// Ends a request: its attempts in flight are cancelled, and it is kept until these have ended.
+    /// Ends a request: its attempts in flight are cancelled if that is allowed, and it is kept until they
+    /// have ended.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.awaiting_probes.retain(|waiting| *waiting != id);
         let Some(request) = self.requests.get_mut(&id) else { return };
--- a/src/policy/request_value.rs
+++ b/src/policy/request_value.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// The request's value relative to the mean. The goal's weight of the worst class adds the same for all.
+    /// The request's value relative to the mean. To account for the worst-served class in the goal, an equal
+    /// amount is added for all classes.
     pub(super) fn relative_value(&mut self, value: f64, tenant: usize) -> f64 {
         let rate = |tenant: &Tenant| tenant.rate_limit_per_s / f64::from(self.node_count());
         let (rate, now) = (self.settings.tenants.get(tenant).map_or(0.0, rate), self.now);
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -4,14 +4,16 @@
 use crate::state::{Balancer, Request, Server};
 use std::time::Duration;
 
-/// An attempt is silent after this multiple of the median answer time; one in 16 exponential times is longer.
+/// An attempt without an answer counts as silent after this multiple of the median answer time. Of
+/// exponentially distributed answer times one in 16 is longer.
 const SILENCE_FACTOR: f64 = 4.0;
 /// A cold server is sent no request of more than this multiple of the usual work.
 const MAX_COLD_COST: f64 = 2.0;
 
 impl Balancer {
-    /// Whether the rules permit sending to a server; nothing overrides this. Rule 3 (drains) is kept without
-    /// use of its grace time. By rule 4 a cold server gets no more than this node's part of what it can take.
+    /// Whether the rules permit sending a request to a server; nothing overrides this. Rule 3 is kept without
+    /// using its grace time. For rule 4 a cold server needs a permit, so that it gets no more than this
+    /// node's part of what it can take.
     pub(super) fn permitted(&self, server: &Server, request: &Request) -> bool {
         server.entry.state == ServerState::Ready
             && (self.capacity_share(server) >= 1.0
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Whether an attempt may start now: one at a time, or a hedged one beside an attempt that is silent.
+    /// Whether an attempt may start now: if none is in flight, or as a hedged one beside a silent attempt.
     pub(super) fn may_send(&self, request: &Request) -> bool {
         let Some(last) = request.attempts.iter().rfind(|a| a.outcome.is_none()) else { return true };
         let silent = self.now >= last.sent + self.silence_timeout(request).mul_f64(0.99);
@@ -52,7 +54,7 @@
 
     /// The median answer time of a class, or of all where the class has had no answer yet.
     pub(super) fn median_time(&self, class: Option<usize>) -> Duration {
-        let of_class = class.and_then(|class| self.class_medians.get(class)).copied();
-        of_class.filter(|median| !median.is_zero()).unwrap_or(self.median)
+        let class_median = class.and_then(|class| self.class_medians.get(class)).copied();
+        class_median.filter(|median| !median.is_zero()).unwrap_or(self.median_answer_time)
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -5,11 +5,12 @@
 use crate::state::{Balancer, Server};
 use std::time::Duration;
 
-/// A node uses only as many servers as it observes this often within the rate window, but at least a few.
+/// A node uses only as many servers as it can observe this often within the rate window ...
 const MIN_OBSERVATIONS: f64 = 3.0;
-const MIN_SERVERS_IN_VIEW: f64 = 6.0;
+/// ... but at least this many; with probes, which observe servers too, twice as many.
+const MIN_SERVERS_OBSERVED: f64 = 6.0;
 
-/// Collects into a list with room for as many as are ever compared.
+/// Collects into a list with capacity for as many servers as are ever compared, to avoid reallocations.
 pub(super) fn collect_servers<T>(items: impl Iterator<Item = T>) -> Vec<T> {
     let mut list = Vec::with_capacity(LOAD_LEVELS);
     list.extend(items);
@@ -42,15 +43,18 @@
         self.settings.report_source == ReportSource::Probes && self.settings.limits.probes
     }
 
-    /// Admission control: the server's load, if at least three in four attempts at it came back in time.
-    /// Chance, weighted by value, decides too: all nodes together may overload one that looks idle to each.
+    /// Admission control: the server's load if it admits the request, `None` otherwise. At least three in
+    /// four attempts at this load must have been answered in time. A random `chance`, weighted by the
+    /// request's value, decides too, because all nodes together may overload a server that looks idle to each
+    /// of them.
     pub(super) fn admitted_load(&self, server: &Server, chance: f64) -> Option<f64> {
         let load = self.load_of(server);
-        let level = load.round() as usize;
-        let open = chance <= self.admission_at(server)
-            && (level == 0 || self.in_time_by_load[level.min(LOAD_LEVELS - 1)] >= 0.75);
-        // A few requests are always admitted to servers without load, or a recovery would never show.
-        (open || server.in_flight == 0 && chance < SMOOTHING / 2.0).then_some(load)
+        let load_level = load.round() as usize;
+        let admitted = chance <= self.admission_at(server)
+            && (load_level == 0 || self.in_time_by_load[load_level.min(LOAD_LEVELS - 1)] >= 0.75);
+        // A few requests are always admitted to servers without load: otherwise their recovery would go
+        // unnoticed.
+        (admitted || server.in_flight == 0 && chance < SMOOTHING / 2.0).then_some(load)
     }
 
     /// Join-Up-To(m): the lowest queue estimate strictly below m, ties at random.
@@ -71,14 +75,19 @@
     }
 
     /// The queue estimate: own sends since the last idle report. Where reports come from probes, which are
-    /// cheap, and other nodes send too, a report expires once they may have sent to the server.
+    /// cheap, and other nodes send too, an idle report expires once they may have sent to the server; the
+    /// estimate is then the cap, so that the server is probed again.
     pub(super) fn queue_estimate(&self, server: &Server, cap: u32) -> u32 {
         let expires = self.uses_probes() && self.node_count() > 1;
-        if expires && !server.idle_at.is_some_and(|at| self.is_fresh(at)) { cap } else { server.estimate }
+        if expires && !server.idle_at.is_some_and(|at| self.is_fresh(at)) {
+            cap
+        } else {
+            server.queue_estimate
+        }
     }
 
-    /// The cap m of the paper's Theorem 6 for exponential job sizes, from own sends for each idle report (its
-    /// lambda / delta) and the share of reports that were not idle (its lambda).
+    /// The cap m of Theorem 6 of the paper on Join-Up-To(m), for exponential job sizes: from own sends for
+    /// each idle report (its lambda / delta) and the share of reports that were not idle (its lambda).
     pub(super) fn queue_cap(&self) -> u32 {
         let sends_per_report = self.recent_sends / self.recent_idle_reports;
         let half = 0.5 + sends_per_report * (1.0 - self.busy_share) / self.busy_share.max(SMOOTHING);
@@ -92,19 +101,21 @@
         collect_servers(among.into_iter().filter(|(_, load)| *load <= average).map(|(s, _)| s))
     }
 
-    /// How many servers to choose from: no more than own traffic observes often enough, because a server seen
-    /// once a minute is never known to be slow or gone. Where connections have a price, all nodes together
-    /// stay within the cost budget. There is one server for each concurrent request, and two to choose from.
+    /// How many servers to choose from: no more than own traffic observes often enough, because a server that
+    /// is used once a minute is never known to be slow or gone. Where connections have a price, all nodes
+    /// together stay within the cost budget. In any case there is one server for each concurrent request, and
+    /// two more to choose from.
     pub(super) fn candidate_limit(&self) -> usize {
         let affordable = 100.0 * COST_BUDGET / self.settings.prices.connections;
         let by_price = affordable * self.ready_count() as f64 / f64::from(self.node_count());
         let rate = self.sent_rate.per_s(self.now, self.rate_window());
-        let needed = MIN_OBSERVATIONS / if self.uses_probes() { 2.0 } else { 1.0 };
-        let in_view = (rate * self.rate_window()).max(MIN_SERVERS_IN_VIEW * MIN_OBSERVATIONS) / needed;
-        (by_price.min(in_view).max(2.0 + rate * self.answer_time_s) as usize).min(LOAD_LEVELS)
+        let observations = MIN_OBSERVATIONS / if self.uses_probes() { 2.0 } else { 1.0 };
+        let observable =
+            (rate * self.rate_window()).max(MIN_SERVERS_OBSERVED * MIN_OBSERVATIONS) / observations;
+        (by_price.min(observable).max(2.0 + rate * self.answer_time_s) as usize).min(LOAD_LEVELS)
     }
 
-    /// The time in seconds over which rates decay: a few of the spans in which rule 4 counts overload.
+    /// The time in seconds over which rates decay: a few times [`Rules::overload_time`].
     pub(super) fn rate_window(&self) -> f64 {
         3.0 * self.settings.rules.overload_time.as_secs_f64().max(1e-3)
     }
--- a/src/policy/server_list.rs
+++ b/src/policy/server_list.rs
@@ -5,7 +5,8 @@
 use crate::state::{Balancer, Server, max_cold_time, merge_ring};
 use std::time::Duration;
 
-/// A node counts as told of what discovery knows after this time, however rare calls the settings allow.
+/// The list is requested at least this often, even if the settings allow longer intervals: a node is expected
+/// to know after this time what discovery knows.
 const MAX_REFRESH_INTERVAL: Duration = Duration::from_secs(6);
 /// The list's timer runs at a 64th of the interval, and so once a millisecond at most.
 const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(64);
@@ -21,9 +22,11 @@
         if !matches!(kind, ListKind::Cached | ListKind::Subset) {
             (self.poll_at, self.poll_backoff) = (None, Duration::ZERO);
         }
-        // A new or restarted server gets the mean queue estimate: at zero all nodes would choose it at once.
+        // A new or restarted server gets the mean queue estimate: with an estimate of zero, all nodes would
+        // choose it at once.
         let count = self.candidate_limit().min(self.ready_ring.len());
-        let estimate = self.ring(None).take(count).map(|s| s.estimate).sum::<u32>() / count.max(1) as u32;
+        let queue_estimate =
+            self.ring(None).take(count).map(|s| s.queue_estimate).sum::<u32>() / count.max(1) as u32;
         let full = matches!(kind, ListKind::Full | ListKind::Cached);
         if full {
             self.servers.values_mut().for_each(|s| s.entry.state = ServerState::Gone);
@@ -34,7 +37,12 @@
             let slot = self.servers.slot_for(entry.id);
             let old = self.servers.take(slot);
             let same = old.entry.id == entry.id && old.entry.started == entry.started;
-            let new = Server { in_flight: old.in_flight, drawn_at: self.now, estimate, ..Server::default() };
+            let new = Server {
+                in_flight: old.in_flight,
+                permit_drawn_at: self.now,
+                queue_estimate,
+                ..Server::default()
+            };
             if entry.state != ServerState::Gone {
                 self.servers.put(slot, Server { entry, ..if same { old } else { new } });
             }
@@ -51,7 +59,8 @@
         }
     }
 
-    /// The ring from this node's start on. Starts are evenly spaced, so that each server has as many nodes.
+    /// The ring from this node's first server on. The nodes' first servers are evenly spaced, so that each
+    /// server is used by about the same number of nodes.
     pub(super) fn ring(&self, zone: Option<u8>) -> impl Iterator<Item = &Server> {
         let first = match self.subset_rings.iter().find(|ring| ring.zone == zone) {
             Some(held) => self.ready_ring.partition_point(|(at, _)| *at < held.first),
@@ -61,12 +70,12 @@
         after.iter().chain(before).map(|(_, slot)| self.servers.at(*slot))
     }
 
-    /// Discovery must be asked again within this time.
+    /// The longest time between two requests for the list, where it has to be requested.
     pub(super) fn refresh_interval(&self) -> Duration {
         self.settings.rules.list_refresh_interval.clamp(MIN_REFRESH_INTERVAL, MAX_REFRESH_INTERVAL)
     }
 
-    /// Where the list must be asked for: requests it when due, and again if no answer comes.
+    /// Where the list has to be requested: requests it when due, and again if no answer arrives.
     pub(super) fn on_list_timer(&mut self, actions: &mut Vec<Action>) {
         if self.poll_at.is_some_and(|at| self.now >= at) {
             actions.push(Action::Subscribe { on: true });
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -4,9 +4,10 @@
 use crate::state::{Balancer, Server};
 use std::time::Duration;
 
-/// The part of rule 4's allowance that is used. Capacity is taken as the least that the settings promise, and
-/// a permit waits for a request: a server gets about what it can do by then. The rest is margin for chance:
-/// with N allowed, N + 2 x sqrt(N) + 2 overload a server, which is 3.8 standard deviations off for N = 25.
+/// The part of what rule 4 allows that is used. The capacity is taken as the least that the settings promise,
+/// and a permit is used somewhat later than it is drawn, when the server can do more: so a server gets about
+/// what it can do. The rest is a margin for random variation: where N requests are allowed, a server is
+/// overloaded by N + 2 x sqrt(N) + 2, which for N = 25 is 3.8 standard deviations away.
 const SLOW_START_UTILIZATION: f64 = 0.8;
 
 impl Balancer {
@@ -19,9 +20,10 @@
         (rules.cold_capacity + (1.0 - rules.cold_capacity) * warmed_up).min(1.0)
     }
 
-    /// Draws permits for cold servers; each lets one request through. What all nodes are answered by a warm
-    /// server is less than its capacity, so a node's permits come at a multiple of its own answers from one.
-    /// They are drawn at random and expire soon: hundreds of quiet nodes could spend saved ones in a burst.
+    /// Draws permits for cold servers; each lets one request through. The answers that all nodes together get
+    /// from a warm server amount to less than its capacity, so a node draws permits at a multiple of the rate
+    /// of its own answers from a warm server. Permits are drawn at random and expire soon, because hundreds
+    /// of quiet nodes could otherwise save them up and use them in one burst.
     pub(super) fn draw_cold_permits(&mut self) {
         let (rules, now) = (self.settings.rules, self.now);
         if now > self.all_warm_at {
@@ -43,15 +45,16 @@
             let rate = rules.overload_factor * SLOW_START_UTILIZATION * capacity * warm_rate;
             let (draw, lifetime) = (self.random(), rules.overload_time / 2);
             let Some(server) = self.servers.get_mut(&id) else { continue };
-            let since = now.saturating_sub(server.drawn_at).min(lifetime).as_secs_f64();
+            let since = now.saturating_sub(server.permit_drawn_at).min(lifetime).as_secs_f64();
             let granted = draw < 1.0 - (-rate * since).exp();
             server.permit_until =
                 if server.permit_until <= now && granted { now + lifetime } else { server.permit_until };
-            server.drawn_at = now;
+            server.permit_drawn_at = now;
         }
     }
 
-    /// Work a second that a warm server does for this node; with none warm, an even share of what arrives.
+    /// The work per second that a warm server does for this node, or, if no server is warm, an even share of
+    /// the work that arrives.
     pub(super) fn work_per_warm_server(&self, zone: Option<u8>) -> f64 {
         let candidates: Vec<_> = self
             .ring_in_zone(zone)
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,19 +1,21 @@
 //! Subsetting: which part of each ring of ready servers a node holds where the list is too long for all.
 //!
-//! Parts are ranges of the ring with evenly spaced starts, so that each server is in as many parts as any
-//! other, but for one. When a server comes or goes, a part moves by at most one server at either end. A
-//! choice looks at fewer servers than a part has, in the same order as with all: a subset changes no decision
-//! (`tests/subset.rs`). Where requests may be retried only within a cell, the cells of the part's servers are
-//! held whole, for these requests alone.
+//! Parts are ranges of the ring with evenly spaced starts, so that the numbers of parts that hold a server
+//! differ by at most one between servers. When a server is added or removed, a part moves by at most one
+//! server at either end. Server selection looks at fewer servers than a part has, in the same order as with
+//! the whole list, so a subset changes no decision (`tests/subset.rs`). Where requests may be retried only
+//! within a cell, the cells of the part's servers are held whole, for these requests alone.
 
 use super::constants::LOAD_LEVELS;
 use crate::interface::RingLayout;
 use crate::state::Balancer;
 
-/// The fewest servers that a part may have: the ejection of one looks at twice as many as are ever compared.
+/// The fewest servers that a part may have: the decision to eject a server looks at twice as many as are ever
+/// compared for a request.
 pub const LEAST_SUBSET: usize = 2 * LOAD_LEVELS;
-/// One more server in so many is held before the first in use. That moves back and forth by one as servers
-/// come and go, and a server that leaves the part is forgotten.
+/// The part begins some servers before the first in use, one for each so many servers. The first in use moves
+/// back and forth by one as servers are added and removed, and what is known of a server is lost when it
+/// leaves the part.
 const LEADING_DIVISOR: usize = 8;
 
 /// A range of servers on a ring, by rank; it wraps around at the ring's end.
@@ -31,7 +33,8 @@
         self.node % self.nodes * ready / self.nodes
     }
 
-    /// The range that the node holds of such a ring: `servers` from the first in use, and a few before it.
+    /// The range that the node holds of a ring of `ready` servers: this many `servers` from the first in use
+    /// on, and a few before it.
     pub fn held_range(&self, ready: usize, servers: usize) -> RingRange {
         let leading = servers / LEADING_DIVISOR;
         if servers + leading >= ready {
--- a/src/policy/zones.rs
+++ b/src/policy/zones.rs
@@ -8,19 +8,20 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// A nearer zone may take this much more of the latency target before a farther one is preferred. It is more
-/// than equal zones differ by chance.
-const TOLERANCE: f64 = 1.0 / 8.0;
+/// A nearer zone may take this much more of the latency target before a farther one is preferred. It exceeds
+/// the random differences between equal zones.
+const LATENCY_TOLERANCE: f64 = 1.0 / 8.0;
 /// Exponential rate at which a failed or evacuated zone loses its share: 95 % of it within two seconds.
-const DRAIN_PER_S: f64 = 1.5;
-/// Least share of all zones but the nearest, together: these requests show how the zones do.
-const MIN_SHARE: f64 = 1.0 / 64.0;
+const FAILOVER_DECAY_PER_S: f64 = 1.5;
+/// The least share of all zones but the nearest, together. These requests show how the zones perform.
+const MIN_OTHERS_SHARE: f64 = 1.0 / 64.0;
 /// Share of a failed zone, for trials: at ten requests a second it is one in three seconds.
 const TRIAL_SHARE: f64 = 1.0 / 32.0;
-/// Failback grows a share from a hundredth to nearly all; this is the logarithm of that growth.
-const LOG_GROWTH: f64 = 4.6;
-/// Unhealthy share of a zone's servers above which it fails over, and below which it may fail back.
-const FAILOVER_AT: f64 = 0.5;
+/// The natural logarithm of the growth of a share in a failback, which is from a hundredth to nearly all.
+const FAILBACK_LOG_GROWTH: f64 = 4.6;
+/// Unhealthy share of a zone's servers above which it fails over.
+const FAILOVER_ABOVE: f64 = 0.5;
+/// Unhealthy share below which a failed-over zone may fail back.
 const HEALTHY_BELOW: f64 = 0.25;
 /// However often a zone relapses, its failback takes at most this many times as long.
 const MAX_BACKOFF: u32 = 8;
@@ -55,8 +56,8 @@
     }
 
     /// The zones in the order in which a request looks for a server: the one drawn by the shares, then
-    /// healthy and near ones. Put last are zones that can't answer in time, failed ones if the request can't
-    /// be retried freely, and the zone of the last attempt if it looks unhealthy.
+    /// healthy and near ones. Last come zones that can't answer in time, failed-over zones if the request
+    /// can't be retried without restriction, and the zone of the last attempt if it looks unhealthy.
     fn zone_order(&self, request: &Request, draw: f64) -> Vec<u8> {
         let mut order: Vec<_> = self.zones.iter().filter(|(_, z)| z.ready > 0).collect();
         let (mut remaining, mut first) = (draw, None);
@@ -72,10 +73,11 @@
         let rank = |id: u8, zone: &Zone| {
             let (step, round_trip) = self.distance(id);
             let in_time = round_trip + self.median_time(request.class) <= time_left;
-            // Trials are for idempotent requests and one in eight others: there may be no idempotent ones.
+            // Trials are for idempotent requests, and for one in eight of the others in case there are no
+            // idempotent ones.
             let trial = zone.state == ZoneState::FailedOver && restricted && draw * 4.0 % 1.0 > SMOOTHING;
             let doubtful = last_tried == Some(id) && zone.unhealthy > HEALTHY_BELOW && !restricted;
-            (!in_time, trial, doubtful, first != Some(id), zone.unhealthy > FAILOVER_AT, step)
+            (!in_time, trial, doubtful, first != Some(id), zone.unhealthy > FAILOVER_ABOVE, step)
         };
         order.sort_by(|(a, x), (b, y)| {
             let (x, y) = (rank(**a, x), rank(**b, y));
@@ -84,7 +86,8 @@
         order.into_iter().map(|(id, _)| *id).collect()
     }
 
-    /// The servers to choose from, a zone at a time: first the zones with a healthy one for this request.
+    /// The servers to choose from, one zone at a time, first the zones that have a healthy server for this
+    /// request; or all servers at once, where zones are not configured.
     pub(super) fn candidates<'a>(
         &'a self,
         request: &'a Request,
@@ -97,11 +100,11 @@
             super::selection::collect_servers(permitted.take(limit))
         };
         let by_zone = self.settings.zones.is_some();
-        let mut whole = (!by_zone).then_some(None);
+        let mut whole_ring = (!by_zone).then_some(None);
         let mut zones = if by_zone { self.zone_order(request, draw) } else { Vec::new() }.into_iter();
         let mut postponed = VecDeque::new();
         std::iter::from_fn(move || {
-            while let Some(zone) = whole.take().or_else(|| zones.next().map(Some)) {
+            while let Some(zone) = whole_ring.take().or_else(|| zones.next().map(Some)) {
                 let servers = in_zone(zone);
                 if servers.is_empty() {
                     continue;
@@ -117,8 +120,9 @@
         })
     }
 
-    /// Records an attempt for its zone: the part of the latency target that it took, and whether it failed. A
-    /// class that fails at a server that serves others is no failure of the zone, nor is an overload.
+    /// Records an attempt for its zone: the part of the latency target that it took, and whether it failed.
+    /// The failure of one class at a server that serves others is no failure of the zone, and neither is a
+    /// rejection by an overloaded server.
     pub(super) fn record_zone_outcome(
         &mut self,
         end: &AttemptEnd,
@@ -152,7 +156,7 @@
         }
     }
 
-    /// Updates states and shares several times within rule 4's overload time, or immediately if forced.
+    /// Updates states and shares, eight times within [`Rules::overload_time`] at most unless `force` is set.
     pub(super) fn update_zones(&mut self, force: bool, actions: &mut Vec<Action>) {
         let (now, window) = (self.now, self.settings.rules.overload_time);
         if self.settings.zones.is_none() || !force && now < self.zones_updated_at + window / 8 {
@@ -163,10 +167,10 @@
         self.zones_updated_at = now;
         let mut zones = std::mem::take(&mut self.zones);
         self.refresh_zone_stats(&mut zones, window);
-        let total: usize = zones.values().map(|z| z.ready).sum();
-        if total > 0 {
+        let ready_servers: usize = zones.values().map(|z| z.ready).sum();
+        if ready_servers > 0 {
             self.update_states(&mut zones, &config, actions);
-            self.update_shares(&mut zones, &config, elapsed_s, total);
+            self.update_shares(&mut zones, &config, elapsed_s, ready_servers);
         }
         self.zones = zones;
     }
@@ -174,7 +178,7 @@
     /// The state machine of each zone.
     fn update_states(&self, zones: &mut BTreeMap<u8, Zone>, config: &Zones, actions: &mut Vec<Action>) {
         let now = self.now;
-        let works = |z: &Zone| z.ready > 0 && z.unhealthy < FAILOVER_AT && z.evacuated_until.is_none();
+        let works = |z: &Zone| z.ready > 0 && z.unhealthy < FAILOVER_ABOVE && z.evacuated_until.is_none();
         let working = zones.values().filter(|z| works(z)).count();
         let largest = zones.values().map(|z| z.share).fold(0.0, f64::max);
         for (id, zone) in zones.iter_mut() {
@@ -185,7 +189,7 @@
                 _ if zone.evacuated_until.is_some() => ZoneState::Evacuated,
                 // With no zone to fail over to, none fails over.
                 ZoneState::Healthy | ZoneState::FailingBack | ZoneState::FailedOver
-                    if zone.unhealthy > FAILOVER_AT && working > 0 =>
+                    if zone.unhealthy > FAILOVER_ABOVE && working > 0 =>
                 {
                     ZoneState::FailedOver
                 }
@@ -199,12 +203,12 @@
                 _ => ZoneState::Healthy,
             };
             if next == zone.state {
-                // Long after its last relapse a zone fails back faster again.
+                // Long after its last relapse, a zone may fail back faster again.
                 zone.backoff = if now > zone.since + 2 * ramp { zone.backoff / 2 } else { zone.backoff };
                 continue;
             }
             if next == ZoneState::FailingBack {
-                // Load and latency from before the failover say nothing now.
+                // Load and latency from before the failover are out of date.
                 (zone.admission, zone.latency_ratios, zone.outcomes) =
                     (2.0, DecayedRate::default(), DecayedRate::default());
             }
@@ -220,44 +224,54 @@
     }
 
     /// Moves the shares by distance, latency and state, then scales them to a sum of 1.
-    fn update_shares(&self, zones: &mut BTreeMap<u8, Zone>, config: &Zones, elapsed_s: f64, total: usize) {
+    fn update_shares(
+        &self,
+        zones: &mut BTreeMap<u8, Zone>,
+        config: &Zones,
+        elapsed_s: f64,
+        ready_servers: usize,
+    ) {
         let (now, window_s) = (self.now, self.settings.rules.overload_time.as_secs_f64());
-        let base_rate = LOG_GROWTH / config.failback_time.as_secs_f64().max(1.0);
+        let base_rate = FAILBACK_LOG_GROWTH / config.failback_time.as_secs_f64().max(1.0);
         let target = self.settings.classes.iter().map(|class| class.latency_target).min().unwrap_or_default();
         let target_s = target.as_secs_f64().max(1e-3);
         let known = zones.values().filter(|z| z.ready > 0).filter_map(|z| z.latency_ratio(now, window_s));
         let best = known.fold(1.0, f64::min);
         let present = |z: &&Zone| z.ready > 0 && z.state != ZoneState::Evacuated;
         let least_unhealthy = zones.values().filter(present).map(|z| z.unhealthy).fold(1.0, f64::min);
-        // Distance counts from the nearest healthy zone. Failback to a nearer one is limited by its backoff.
-        let settled = |z: &Zone| z.ready > 0 && z.state == ZoneState::Healthy;
-        let healthy = zones.iter().filter(|(_, z)| settled(z)).map(|(id, _)| self.distance(*id).0);
+        // Distance is counted from the nearest healthy zone. A nearer zone that fails back grows only as fast
+        // as its backoff permits.
+        let is_healthy = |z: &Zone| z.ready > 0 && z.state == ZoneState::Healthy;
+        let healthy = zones.iter().filter(|(_, z)| is_healthy(z)).map(|(id, _)| self.distance(*id).0);
         let healthy = healthy.fold(f64::MAX, f64::min);
         let nearest = zones.iter().filter(|(_, z)| present(z)).map(|(id, _)| self.distance(*id).0);
         let nearest = if healthy < f64::MAX { healthy } else { nearest.fold(f64::MAX, f64::min) };
         let initial = zones.values().all(|z| z.share == 0.0);
         let others = (zones.len() as f64 - 1.0).max(1.0);
         for (id, zone) in zones.iter_mut() {
-            let (step, rtt) = self.distance(*id);
+            let (step, round_trip) = self.distance(*id);
             let farther = (step - nearest).max(-1.0);
             if initial {
                 zone.share = if farther <= 0.0 { 1.0 } else { 0.0 };
             }
             // A zone without observations is taken to be as fast as the best, plus the round trip.
-            let ratio =
-                zone.latency_ratio(now, window_s).unwrap_or(best + rtt.as_secs_f64() / target_s).min(1.0);
+            let ratio = zone
+                .latency_ratio(now, window_s)
+                .unwrap_or(best + round_trip.as_secs_f64() / target_s)
+                .min(1.0);
             let price = if step > 0.0 { self.settings.prices.cross_zone } else { 0.0 };
-            let mut rate = -base_rate * farther - base_rate / TOLERANCE * (ratio - best + price);
+            let mut rate = -base_rate * farther - base_rate / LATENCY_TOLERANCE * (ratio - best + price);
             if zone.state == ZoneState::FailingBack {
                 rate = rate.min(base_rate / f64::from(zone.backoff.max(1)));
             }
             if zone.state == ZoneState::FailedOver || zone.state == ZoneState::Evacuated {
-                rate = rate.min(-DRAIN_PER_S);
+                rate = rate.min(-FAILOVER_DECAY_PER_S);
             }
             zone.share *= (rate * elapsed_s).exp();
-            if least_unhealthy > FAILOVER_AT {
-                // All zones fail: each is used by its size.
-                zone.share += (zone.ready as f64 / total as f64 - zone.share) * (1.0 - (-elapsed_s).exp());
+            if least_unhealthy > FAILOVER_ABOVE {
+                // All zones fail: each is used in proportion to its size.
+                zone.share +=
+                    (zone.ready as f64 / ready_servers as f64 - zone.share) * (1.0 - (-elapsed_s).exp());
             }
         }
         let sum: f64 = zones.values().map(|z| z.share).sum();
@@ -265,7 +279,7 @@
             let floor = match zone.state {
                 ZoneState::Evacuated => 0.0,
                 ZoneState::FailedOver => TRIAL_SHARE,
-                _ => MIN_SHARE / others,
+                _ => MIN_OTHERS_SHARE / others,
             };
             let share = if sum > 0.0 { zone.share / sum } else { 1.0 };
             zone.share = if zone.ready == 0 { 0.0 } else { share.max(floor) };
--- a/src/state.rs
+++ b/src/state.rs
@@ -14,7 +14,7 @@
 pub struct Server {
     pub entry: ServerEntry,
     /// Join-Up-To(m)'s queue estimate: own sends since its last idle report.
-    pub estimate: u32,
+    pub queue_estimate: u32,
     /// When it last reported idle.
     pub idle_at: Option<Duration>,
     /// Own attempts in flight.
@@ -25,17 +25,18 @@
     pub probing: bool,
     /// Smoothed share of failed attempts.
     pub failure_rate: f64,
-    /// Ejected until this time; after it, on trial until it serves a request.
+    /// Ejected until this time. After it, trial requests may be sent to it; the ejection ends when it serves
+    /// one.
     pub ejected_until: Option<Duration>,
-    /// Ejections in a row, halved by an answer. Each one lasts longer than the one before.
+    /// Ejections in a row, halved by each answer. Each one takes longer than the one before.
     pub ejections: u32,
-    /// By class: the attempts that it rejected, failed or did not answer since it last served one, as a
-    /// decayed rate, and whether it has served one of another class meanwhile.
+    /// By class: the attempts of this class that it rejected, failed or did not answer since it last served
+    /// one of them, as a decayed rate, and whether it has served another class since then.
     pub misses: BTreeMap<usize, (DecayedRate, bool)>,
     /// While cold: until when a permit lets it be sent one request.
     pub permit_until: Duration,
-    /// While cold: when a permit was last drawn for.
-    pub drawn_at: Duration,
+    /// While cold: when a permit for it was last drawn, whether it was granted or not.
+    pub permit_drawn_at: Duration,
     /// What its last attempt showed, and when.
     pub last_seen: Option<(Observation, Duration)>,
 }
@@ -58,8 +59,8 @@
     pub ready: usize,
     /// The share of its recently observed servers whose last attempt failed.
     pub unhealthy: f64,
-    /// The sum of the fractions of the latency target that its requests took. Decays over rule 4's overload
-    /// time.
+    /// The sum of the fractions of the latency target that its requests took. It decays over
+    /// [`Rules::overload_time`].
     pub latency_ratios: DecayedRate,
     /// The number of these requests, with the same decay.
     pub outcomes: DecayedRate,
@@ -83,15 +84,16 @@
 }
 
 impl Server {
-    /// An attempt was sent, or its body has come: it counts as load if the server can work on it.
-    pub fn attempt_started(&mut self, counted: bool) {
-        if counted {
+    /// Counts an attempt that was sent, or whose body has arrived, as load if the server can work on it.
+    pub fn attempt_started(&mut self, counts_as_load: bool) {
+        if counts_as_load {
             self.in_flight += 1;
             self.load = self.load.map(|(load, at)| (load + 1.0, at));
         }
     }
 
-    /// An attempt has ended. One that was cut short is no miss. Rates decay over `window_s`.
+    /// Updates the misses of a class when an attempt has ended. An attempt that was cut short, before the
+    /// server had enough time to answer, is no miss. Rates decay over `window_s`.
     pub fn attempt_ended(
         &mut self,
         class: Option<usize>,
@@ -193,9 +195,9 @@
     pub server: ServerEntry,
     pub sent: Duration,
     /// The load of the server when it was sent, in requests.
-    pub level: usize,
+    pub load_level: usize,
     /// It counts as load of its server: not while its body still arrives, nor after its answer has started.
-    pub counted: bool,
+    pub counts_as_load: bool,
     pub outcome: Option<Outcome>,
 }
 
@@ -218,14 +220,14 @@
     /// An answer after this time has no value.
     pub expires: Duration,
     pub attempts: Vec<Attempt>,
-    /// It has had its probes, or must do without them.
+    /// It has had its probes, or is sent without any.
     pub probes_done: bool,
     pub answer_started: bool,
     /// Its body is streamed and not kept.
     pub streamed_body: bool,
-    /// Its body still arrives.
+    /// While its body still arrives: the request as it was received.
     pub receiving: Option<NewRequest>,
-    /// An attempt has used up its body, which can't be sent again.
+    /// An attempt has consumed its body, so that it can't be sent again.
     pub body_consumed: bool,
     /// It needs no answer any more.
     pub done: bool,
@@ -277,11 +279,11 @@
     pub(crate) rng: Pcg32,
     pub(crate) now: Duration,
     pub(crate) servers: Servers,
-    /// The ready servers in the order of their ring: the position of each on it, and its slot in `servers`.
+    /// The ready servers, sorted by ring position: the position of each, and its slot in `servers`.
     pub(crate) ready_ring: Vec<(u64, usize)>,
     /// The rings of which a subset is held, one for each zone at most. Empty where all servers are held.
     pub(crate) subset_rings: Vec<SubsetRing>,
-    /// Some class may be retried only within a cell.
+    /// Whether the requests of some class may be retried only within a cell.
     pub(crate) cell_retries: bool,
     /// From this time on no listed server is cold.
     pub(crate) all_warm_at: Duration,
@@ -292,7 +294,7 @@
     /// The smoothed answer time.
     pub(crate) answer_time_s: f64,
     /// The median answer time.
-    pub(crate) median: Duration,
+    pub(crate) median_answer_time: Duration,
     /// The median answer time of each class; zero until there is an answer.
     pub(crate) class_medians: Vec<Duration>,
     /// Smoothed share of failed attempts at all servers.
@@ -301,7 +303,7 @@
     pub(crate) mean_cost: f64,
     /// The smoothed value of a request.
     pub(crate) mean_value: f64,
-    /// Own sends, with slow decay.
+    /// The number of own sends, with slow decay.
     pub(crate) recent_sends: f64,
     /// Idle reports that lowered a queue estimate, with the same decay.
     pub(crate) recent_idle_reports: f64,
@@ -309,30 +311,33 @@
     pub(crate) busy_share: f64,
     /// The smoothed share of attempts answered in time, by the load of the server when they were sent.
     pub(crate) in_time_by_load: Vec<f64>,
-    /// Admission control: the share of requests that servers without load are sent. It is steady while seven
-    /// in eight are answered in time; what it has above 1 is a reserve against chance misses.
+    /// Admission control: the share of requests that may be sent to servers without load. It stays constant
+    /// while seven in eight are answered in time. Values above 1 are a reserve, so that a few late answers
+    /// don't cause a refusal.
     pub(crate) admission: f64,
+    /// Probes that own traffic has earned and that have not been sent.
     pub(crate) probe_tokens: f64,
+    /// The retry budget: retries that may be sent.
     pub(crate) retry_tokens: f64,
-    /// The number of attempts that may time out before their deadline.
-    pub(crate) early_timeouts: f64,
+    /// Tokens for attempts that may time out before their deadline; answers in time earn them.
+    pub(crate) early_timeout_tokens: f64,
     /// Attempts sent.
     pub(crate) sent_rate: DecayedRate,
     /// Work that arrived, relative to that of the mean request.
     pub(crate) arrived_work: DecayedRate,
-    /// Work that warm servers have answered.
+    /// Work of the requests that warm servers have answered, relative to that of the mean request.
     pub(crate) warm_work: DecayedRate,
     /// The rate limit of each tenant.
     pub(crate) tenant_buckets: Vec<TokenBucket>,
-    /// How long clients wait for a first try, by class.
-    pub(crate) first_try_patience: Vec<Duration>,
+    /// How long clients wait for an answer to a first try (not a client retry), by class.
+    pub(crate) first_try_wait: Vec<Duration>,
     /// How many nodes there are, where the nodes know of one another.
     pub(crate) fleet_view: Option<FleetView>,
     /// Where the list must be asked for: when to ask next.
     pub(crate) poll_at: Option<Duration>,
     /// The wait after a failed call for the list.
     pub(crate) poll_backoff: Duration,
-    /// The zones by number, where zones are configured.
+    /// The zones by number. Empty where zones are not configured.
     pub(crate) zones: BTreeMap<u8, Zone>,
     /// When the states and shares of the zones were last updated.
     pub(crate) zones_updated_at: Duration,
@@ -377,7 +382,7 @@
             awaiting_probes: Default::default(),
             probes_in_flight: Default::default(),
             answer_time_s: Default::default(),
-            median: Duration::ZERO,
+            median_answer_time: Duration::ZERO,
             class_medians: vec![Duration::ZERO; settings.classes.len()],
             failure_rate: Default::default(),
             mean_cost: Default::default(),
@@ -390,12 +395,12 @@
             admission: Default::default(),
             probe_tokens: Default::default(),
             retry_tokens: Default::default(),
-            early_timeouts: Default::default(),
+            early_timeout_tokens: Default::default(),
             sent_rate: Default::default(),
             arrived_work: Default::default(),
             warm_work: Default::default(),
             tenant_buckets: vec![TokenBucket::default(); settings.tenants.len()],
-            first_try_patience: vec![Duration::ZERO; settings.classes.len()],
+            first_try_wait: vec![Duration::ZERO; settings.classes.len()],
             fleet_view: None,
             poll_at: Default::default(),
             poll_backoff: Default::default(),
@@ -467,8 +472,8 @@
                 failed + if served < MIN_SERVED_PER_TIMEOUT * timed_out { timed_out } else { 0.0 },
                 served + failed + timed_out,
             );
-            // As if one more were healthy: a single failure says little where few, but not all, were
-            // observed.
+            // Where not all servers were observed, one more counts as healthy, because a failure of one
+            // server says little about the others.
             zone.unhealthy = if seen >= zone.ready as f64 { bad / seen } else { bad / (seen + 1.0) };
         }
         zones.retain(|_, zone| zone.ready > 0 || zone.evacuated_until.is_some());
@@ -507,12 +512,12 @@
             request.class = request.class.and_then(new_index);
         }
         let deadline = |settings: &Settings, class: usize| settings.classes.get(class).map(|c| c.deadline);
-        let patience = classes.iter().enumerate().map(|(index, old)| {
+        let first_try_wait = classes.iter().enumerate().map(|(index, old)| {
             // With another deadline the clients of a class wait for another time.
             let old = old.filter(|old| deadline(&self.settings, *old) == deadline(&new, index));
-            old.and_then(|old| self.first_try_patience.get(old)).copied().unwrap_or_default()
+            old.and_then(|old| self.first_try_wait.get(old)).copied().unwrap_or_default()
         });
-        self.first_try_patience = patience.collect();
+        self.first_try_wait = first_try_wait.collect();
         let median = |old: &Option<usize>| old.and_then(|old| self.class_medians.get(old)).copied();
         self.class_medians = classes.iter().map(|old| median(old).unwrap_or_default()).collect();
         let bucket = |old: &Option<usize>| old.and_then(|old| self.tenant_buckets.get(old)).copied();
