--- a/src/control/server_table/tests.rs
+++ b/src/control/server_table/tests.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn each_server_is_held_by_as_many_nodes_as_any_other_but_for_one() {
+fn the_numbers_of_nodes_that_hold_a_server_differ_by_at_most_one() {
     for (nodes, servers) in [(49, 520), (10, 1_000), (300, 200), (7, 144), (120, 997)] {
         let mut holders = BTreeMap::<ServerId, usize>::new();
         for node in 0..nodes {
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -43,8 +43,7 @@
             let after = Duration::from_secs_f64(self.answer_time_s / 8.0).max(self.settings.timer_resolution);
             return actions.push(Action::SetTimer { after, token: id.0 });
         };
-        let (below_cap, random_choice) =
-            (self.lowest_below_cap(&admitted, draw), random_server(&admitted, draw));
+        let (below_cap, random) = (self.lowest_below_cap(&admitted, draw), random_server(&admitted, draw));
         let may_probe = below_cap.is_none() && !request.probes_done && !self.awaiting_probes.contains(&id);
         let load_unknown = |s: &&&Server| may_probe && !s.probing && self.probed_load(s).is_none();
         let to_probe: Vec<_> = healthy.iter().filter(load_unknown).map(|s| s.entry.id).collect();
@@ -54,9 +53,7 @@
         match below_cap {
             Some(server) => self.send(id, server, actions),
             None if self.awaiting_probes.contains(&id) || may_probe && self.probe(id, to_probe, actions) => {}
-            None if random_choice.is_some() => {
-                random_choice.into_iter().for_each(|server| self.send(id, server, actions))
-            }
+            None if random.is_some() => random.into_iter().for_each(|server| self.send(id, server, actions)),
             // Load shedding: no server is likely to answer in time.
             None => self.refuse_or_fail(id, actions),
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -212,7 +212,8 @@
         Ok(())
     }
 
-    /// The same, indexed by zone number. `zone_names` gives the zones in the order of their numbers.
+    /// Converts this to [`Zones`], which is indexed by zone number. `zone_names` gives the zones in the order
+    /// of their numbers.
     pub fn to_zones(&self, zone_names: &[String]) -> Zones {
         let mut region_by_zone = HashMap::new();
         for (region, zones) in self.regions.values().enumerate() {
--- a/tests/combined_faults.rs
+++ b/tests/combined_faults.rs
@@ -1,6 +1,6 @@
-//! Faults in combination, and faults of no standard kind. The harness checks the four rules; these tests
-//! check that requests are still served, that retries stay within their budget, and that no overload outlasts
-//! its cause.
+//! Faults in combination, and unusual faults. The harness checks rules 1 to 3 of `src/policy/mod.rs`; these
+//! tests check that requests are still served, that retries stay within their budget, and that no overload
+//! outlasts its cause.
 
 mod module_harness;
 
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,5 +1,5 @@
 //! Small tests of single decisions: server selection, probes, retries, health, slow start, the server list,
-//! settings and streamed bodies. The harness checks the four rules as well.
+//! settings and streamed bodies. The harness checks rules 1 to 3 as well.
 
 mod module_harness;
 
@@ -258,7 +258,7 @@
     let mut harness = Harness::new(piggyback_settings());
     let (id, _) = harness.request(1);
     harness.advance(ms(401));
-    assert!(harness.log.iter().any(|a| matches!(a, Action::Refuse { id: it, .. } if *it == id)));
+    assert!(harness.log.iter().any(|a| matches!(a, Action::Refuse { id: refused, .. } if *refused == id)));
 }
 
 #[test]
@@ -313,8 +313,8 @@
 
 // ---- Health -----------------------------------------------------------------------------------
 
-/// Plays requests that take 30 ms each. `ends` says how an attempt at a server ends. Returns the attempts by
-/// server.
+/// Sends requests that take 30 ms each. `ends` gives the outcome of an attempt at a server. Returns the
+/// number of attempts by server.
 fn play(harness: &mut Harness, count: usize, ends: impl Fn(u64) -> Outcome) -> BTreeMap<u64, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..count {
@@ -499,7 +499,7 @@
 
 #[test]
 fn a_cold_server_gets_no_more_than_this_nodes_part_of_its_allowance() {
-    // A warm server has at least 10 requests a second of all three nodes.
+    // A warm server has a capacity of at least 10 requests a second for all three nodes together.
     let cold = sends_to_a_cold_server(4.0);
     assert!(!cold.is_empty(), "the cold server is used");
     // This node sends 33 a second, 3.3 to a warm server; its third of 4 x 0.2 x 10 a second for 1.5 s is 4.
@@ -531,42 +531,43 @@
 
 #[test]
 fn a_list_that_must_be_asked_for_is_requested_and_failed_calls_are_retried() {
-    let asks =
+    let list_requests =
         |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Subscribe { on: true })).count();
     let mut harness = Harness::new(Settings { list_on_request: true, ..piggyback_settings() });
     harness.update_list(ListKind::Cached, vec![entry(0)]);
     harness.advance(ms(3000));
-    assert_eq!(asks(&harness.log), 1);
+    assert_eq!(list_requests(&harness.log), 1);
     for _ in 0..5 {
         let before = harness.log.len();
         harness.update_list(ListKind::Failed, Vec::new());
         harness.advance(ms(6000)); // within the 10 s that are allowed without a call
-        assert!(asks(&harness.log[before..]) >= 1);
-        assert!(asks(&harness.log[before..]) <= 2, "too many calls for the list");
+        assert!(list_requests(&harness.log[before..]) >= 1);
+        assert!(list_requests(&harness.log[before..]) <= 2, "too many calls for the list");
     }
     harness.update_list(ListKind::Full, vec![entry(0)]);
     let before = harness.log.len();
     harness.advance(ms(60_000));
-    assert_eq!(asks(&harness.log[before..]), 0, "a subscription needs no calls");
+    assert_eq!(list_requests(&harness.log[before..]), 0, "a subscription needs no calls");
 }
 
-/// A node counts as told of what discovery knows after 6 s, whatever calls failed. So a call that takes a
-/// second and one that fails must leave time for the next.
+/// A node is expected to know after 6 s what discovery knows, even if calls for the list fail meanwhile. So a
+/// call that takes a second and one that fails must leave time for the next, whatever interval between calls
+/// the settings allow.
 #[test]
-fn whatever_may_be_between_calls_a_list_is_asked_for_every_few_seconds() {
-    let asks =
+fn the_list_is_requested_every_few_seconds_whatever_interval_the_settings_allow() {
+    let list_requests =
         |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Subscribe { on: true })).count();
     for within in [600_000, 60_000, 10_000, 1_000, 0] {
         let rules = Rules { list_refresh_interval: ms(within), ..piggyback_settings().rules };
         let mut harness = Harness::new(Settings { list_on_request: true, rules, ..piggyback_settings() });
         harness.update_list(ListKind::Cached, vec![entry(0)]);
         harness.advance(ms(1_700));
-        assert!(asks(&harness.log) >= 1, "{within}: the first call");
+        assert!(list_requests(&harness.log) >= 1, "{within}: the first call");
         for call in 0..12 {
             let before = harness.log.len();
             harness.update_list(ListKind::Failed, Vec::new());
             harness.advance(ms(3_200));
-            assert!(asks(&harness.log[before..]) >= 1, "{within}: after {call}");
+            assert!(list_requests(&harness.log[before..]) >= 1, "{within}: after {call}");
         }
     }
 }
@@ -584,13 +585,16 @@
         let (_, actions) = harness.request_with(1, tenant, ms(1000), None);
         refusals[tenant] += usize::from(refused(&actions));
         harness.advance(ms(5));
-        let out = harness.in_flight();
-        if step % 10 == 0 && !out.is_empty() {
-            harness.end_attempt(out[0].0, out[0].1, Outcome::Served, None);
+        let in_flight = harness.in_flight();
+        if step % 10 == 0 && !in_flight.is_empty() {
+            harness.end_attempt(in_flight[0].0, in_flight[0].1, Outcome::Served, None);
         }
     }
-    let [flood, modest] = [refusals[0] as f64 / 1913.0, refusals[1] as f64 / 87.0];
-    assert!(flood > 0.3 && modest < flood, "refused: {flood} of the flood, {modest} of the modest tenant");
+    let [over_limit, within_limit] = [refusals[0] as f64 / 1913.0, refusals[1] as f64 / 87.0];
+    assert!(
+        over_limit > 0.3 && within_limit < over_limit,
+        "refused: {over_limit} of the tenant over its limit, {within_limit} of the other"
+    );
 }
 
 #[test]
@@ -806,8 +810,8 @@
         harness.advance(ms(390));
         let sent = harness.log.iter().filter(|a| matches!(a, Action::Send { id: i, .. } if *i == id)).count();
         assert_eq!(sent, attempts as usize);
-        let out = harness.in_flight().contains(&(id, attempts as usize - 1));
-        assert!(out, "the last of {attempts} is in flight shortly before the latency target");
+        let last_in_flight = harness.in_flight().contains(&(id, attempts as usize - 1));
+        assert!(last_in_flight, "the last of {attempts} is in flight shortly before the latency target");
     }
 }
 
--- a/tests/module_harness/mod.rs
+++ b/tests/module_harness/mod.rs
@@ -1,5 +1,6 @@
-//! A test harness around the decisions of one node: it plays legal events, carries out the actions, and
-//! checks the four rules by its own bookkeeping.
+//! A test harness around the decisions of one node: it reports legal events, carries out the actions, and
+//! checks rules 1 to 3 of `src/policy/mod.rs` by its own bookkeeping. Rule 4 is checked by the tests that
+//! have cold servers.
 #![allow(dead_code)] // each test file uses some of this
 
 use hillpick::*;
@@ -75,7 +76,7 @@
 }
 
 struct OpenRequest {
-    /// The rules that it came under.
+    /// The retry safety and the attempt limit that were in force when it arrived.
     retry_safety: RetrySafety,
     max_attempts: u32,
     deadline: Duration,
@@ -93,7 +94,7 @@
     requests: BTreeMap<RequestId, OpenRequest>,
     timers: BTreeMap<(Duration, usize), u64>,
     timers_set: usize,
-    /// Each server as the node last had it listed, and when it was told that it drains or is gone.
+    /// Each server as last listed for the node, and when the node was told that the server drains or is gone.
     listed: BTreeMap<ServerId, (ServerEntry, Option<Duration>)>,
     probes: Vec<(ServerId, Duration)>,
     next_id: u64,
@@ -299,7 +300,7 @@
         self.now - self.requests[&id].attempts[attempt].sent_at
     }
 
-    /// Forgets requests that are answered and have nothing in flight, so that long plays stay fast.
+    /// Forgets requests that are answered and have nothing in flight, so that long tests stay fast.
     pub fn forget_ended(&mut self) {
         self.requests.retain(|_, r| !r.answered || r.attempts.iter().any(|a| a.outcome.is_none()));
     }
@@ -372,8 +373,8 @@
         assert!(request.attempts.len() < request.max_attempts as usize, "too many attempts");
         let parallel = request.attempts.iter().any(|a| a.outcome.is_none());
         assert!(!parallel || limits.hedging, "two attempts at once");
-        let ran = request.attempts.iter().find(|a| !a.outcome.is_some_and(proves_no_run));
-        if let Some(first) = ran {
+        let first_that_may_have_run = request.attempts.iter().find(|a| !a.outcome.is_some_and(proves_no_run));
+        if let Some(first) = first_that_may_have_run {
             let first_server = &self.listed[&first.server].0;
             let allowed = match request.retry_safety {
                 RetrySafety::Idempotent => true,
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -85,8 +85,8 @@
     tally
 }
 
-/// Guards against retries that keep an overload alive: a server goes on with an attempt that timed out,
-/// beside its retry. Servers that slow down under load then cause the next time-out, and so on.
+/// Guards against retries that prolong an overload: a server continues the work of an attempt that timed out
+/// while its retry runs too. The additional load slows the servers down and causes further time-outs.
 #[test]
 fn long_work_is_not_retried_beside_itself() {
     let mut harness = without_hedging();
@@ -97,7 +97,8 @@
     assert!(tally.served >= tally.requests * 9 / 10, "{tally:?}");
 }
 
-/// A burst fills the servers. After it the load is what it was before, and within seconds so is the service.
+/// A burst overloads the servers. After it the load is as before, and within seconds nearly all requests are
+/// served again.
 #[test]
 fn service_recovers_from_a_burst_at_the_previous_load() {
     let mut harness = without_hedging();
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Random legal histories: the four rules hold in each, and equal histories give equal actions.
+//! Random legal histories: the four rules of `src/policy/mod.rs` hold in each, and equal histories give equal
+//! actions.
 
 mod module_harness;
 
@@ -55,9 +56,9 @@
                 harness.request_with(*class, 0, ms(*remaining), cost.map(ms));
             }
             Step::End { which, outcome, load } => {
-                let out = harness.in_flight();
-                if !out.is_empty() {
-                    let (id, attempt) = out[which % out.len()];
+                let in_flight = harness.in_flight();
+                if !in_flight.is_empty() {
+                    let (id, attempt) = in_flight[which % in_flight.len()];
                     harness.end_attempt(id, attempt, OUTCOMES[*outcome], load.map(f32::from));
                 }
             }
@@ -411,7 +412,7 @@
     #![proptest_config(Config { cases: 16, ..config() })]
 
     #[test]
-    fn a_whole_fleet_spares_cold_servers(seed: u64, probes: bool, fleet in fleet()) {
+    fn a_fleet_does_not_overload_cold_servers(seed: u64, probes: bool, fleet in fleet()) {
         a_fleet_and_cold_servers(&fleet, probes, seed)?;
     }
 }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -103,7 +103,7 @@
         let zones = self.harness.balancer.zones();
         let sum: f64 = zones.iter().map(|zone| zone.share).sum();
         assert!((sum - 1.0).abs() < 1e-6, "the shares sum to {sum}");
-        zones.into_iter().find(|it| it.zone == zone).expect("a zone")
+        zones.into_iter().find(|view| view.zone == zone).expect("a zone")
     }
 }
 
@@ -318,11 +318,11 @@
     assert_eq!(play.zone(3).ready_servers, 10);
     play.run(5);
     let gone = (0..30).filter(|n| n % 3 == 0).map(entry);
-    let gone: Vec<_> = gone.map(|it| ServerEntry { state: ServerState::Gone, ..it }).collect();
+    let gone: Vec<_> = gone.map(|server| ServerEntry { state: ServerState::Gone, ..server }).collect();
     play.harness.update_list(ListKind::Changes, gone);
     let (sends, served) = play.run(10);
     assert!(share_of(&sends, 0) == 0.0 && served > 0.99, "{sends:?} {served}");
-    assert!(play.harness.balancer.zones().iter().all(|it| it.zone != 0 || it.ready_servers == 0));
+    assert!(play.harness.balancer.zones().iter().all(|view| view.zone != 0 || view.ready_servers == 0));
     // Settings without zones turn them off.
     play.harness.settings.zones = None;
     let event = Event::Settings {
@@ -334,8 +334,8 @@
     assert!(play.harness.balancer.zones().is_empty());
 }
 
-/// A region is half a second away: requests with less time than that stay near, however slow the zone there
-/// is.
+/// A region is half a second away: requests with less time than that stay in the near region, however slow
+/// its zone is.
 #[test]
 fn requests_are_not_sent_to_a_region_that_cannot_answer_in_time() {
     let mut play = Play::new(zones(&[0, 0, 1], &[0, 1, 500]), (0..30).map(entry));
