--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -112,13 +112,13 @@
             && !streamed
             && time_left > silent_after * 5 / 4
             && self.retry_tokens >= if retry { 2.0 } else { 1.0 };
-        let hedged = self.settings.limits.hedging;
+        let hedging = self.settings.limits.hedging;
         // A server may continue the work of an abandoned attempt. So once the tokens for early time-outs are
         // used up, attempts get all the time that is left.
-        let ends_early = another_possible && !hedged && self.early_timeout_tokens >= 1.0;
+        let ends_early = another_possible && !hedging && self.early_timeout_tokens >= 1.0;
         let timeout = if ends_early { silent_after } else { time_left };
         let timeout = if receiving { UPLOAD_TIMEOUT } else { timeout };
-        if another_possible && hedged {
+        if another_possible && hedging {
             actions.push(Action::SetTimer { after: silent_after, token: id.0 });
         }
         let load_level = (self.load_of(server).round() as usize).min(LOAD_LEVELS - 1);
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -158,8 +158,8 @@
     }
 
     /// Applies a load report. One of nothing in flight (or of an empty queue, if only that is known) that
-    /// comes with an answer is an idle report. It resets the queue estimate to the number of own attempts in
-    /// flight, because these may have been sent after the report.
+    /// comes with an answer is an idle report. It lowers the queue estimate to the number of own attempts
+    /// in flight, which may have been sent after the report.
     pub(super) fn on_report(&mut self, id: ServerId, report: Option<LoadReport>, served: bool) {
         let (Some(report), Some(server)) = (report, self.servers.get_mut(&id)) else { return };
         let Some(load) = report.in_flight.or(report.queue).map(f64::from) else { return };
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -13,7 +13,7 @@
 /// The fewest servers that a part may have: the decision to eject a server looks at twice as many as are ever
 /// compared for a request.
 pub const LEAST_SUBSET: usize = 2 * LOAD_LEVELS;
-/// One more server for each this many is held before the first in use. The first in use moves back and forth
+/// One more server for every eight is held before the first in use. The first in use moves back and forth
 /// by one as servers are added and removed, and what is known of a server is lost when it leaves the part.
 const LEADING_DIVISOR: usize = 8;
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -468,13 +468,17 @@
         }
         for (zone, [served, failed, timed_out]) in counts {
             let Some(zone) = zones.get_mut(&zone) else { continue };
-            let (bad, seen) = (
+            let (unhealthy, observed) = (
                 failed + if served < MIN_SERVED_PER_TIMEOUT * timed_out { timed_out } else { 0.0 },
                 served + failed + timed_out,
             );
             // Where not all servers were observed, one more counts as healthy, because a failure of one
             // server says little about the others.
-            zone.unhealthy = if seen >= zone.ready as f64 { bad / seen } else { bad / (seen + 1.0) };
+            zone.unhealthy = if observed >= zone.ready as f64 {
+                unhealthy / observed
+            } else {
+                unhealthy / (observed + 1.0)
+            };
         }
         zones.retain(|_, zone| zone.ready > 0 || zone.evacuated_until.is_some());
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -499,7 +499,7 @@
 
 #[test]
 fn a_cold_server_gets_no_more_than_this_nodes_part_of_its_allowance() {
-    // A warm server has a capacity of at least 10 requests a second for all three nodes together.
+    // A warm server is sent 10 requests a second by all three nodes together, so it can do at least these.
     let cold = sends_to_a_cold_server(4.0);
     assert!(!cold.is_empty(), "the cold server is used");
     // This node sends 33 a second, 3.3 to a warm server; its third of 4 x 0.2 x 10 a second for 1.5 s is 4.
--- a/tests/module_harness/mod.rs
+++ b/tests/module_harness/mod.rs
@@ -256,7 +256,7 @@
         self.handle(Event::ClientGone { id });
     }
 
-    /// Advances the time: timers fire, attempts and probes time out.
+    /// Advances the time: timers fire, attempts and probes time out, and rule 1 is checked.
     pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
