--- a/src/policy/server_list.rs
+++ b/src/policy/server_list.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// The ring from this node's first server on. The nodes' first servers are evenly spaced, so that each
-    /// server is used by about the same number of nodes.
+    /// The ring from this node's first server on. All nodes see the same ring, and their first servers are
+    /// evenly spaced on it, so that each server is used by about the same number of nodes.
     pub(super) fn ring(&self, zone: Option<u8>) -> impl Iterator<Item = &Server> {
         let first = match self.subset_rings.iter().find(|ring| ring.zone == zone) {
             Some(held) => self.ready_ring.partition_point(|(at, _)| *at < held.first),
