--- a/tests/races/mod.rs
+++ b/tests/races/mod.rs
@@ -1,5 +1,5 @@
 //! Races between two events: each order is forced, and a peer of the node checks the result.
-//! `docs/crossings.md` has a row for each race. Orders that only a paused clock can force are tested next to
+//! `docs/races.md` has a row for each race. Orders that only a paused clock can force are tested next to
 //! the module that they concern.
 
 mod backends;
