--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -40,7 +40,7 @@
         self.score = (self.score + 1).min(MAX_SCORE);
     }
 
-    /// Holds the score at [`GROWING_VIEW_SCORE`] or above while the view still grows. Others are then
+    /// Holds the score at `GROWING_VIEW_SCORE` or above while the view still grows. Others are then
     /// learning of members too, and their refutations of a suspicion share the room in datagrams with that
     /// news.
     pub fn view_growing(&mut self) {
